--- a/mosswalk/actors/__init__.py
+++ b/mosswalk/actors/__init__.py
@@ -65,7 +65,7 @@
         self._mailbox: asyncio.Queue[M] = asyncio.Queue()
         self._tasks: set[asyncio.Task[Any]] = set()
 
-    def tell(self, message: M) -> None:
+    def send(self, message: M) -> None:
         """Leave a message.
 
         The mailbox has no limit of its own, as nothing may be dropped: a sender has one message
--- a/mosswalk/api/__init__.py
+++ b/mosswalk/api/__init__.py
@@ -11,7 +11,7 @@
 from msgspec import Struct
 
 from mosswalk.api.jobs import JobService, Reply
-from mosswalk.wire.users import MAX_BODY_BYTES, Failure
+from mosswalk.wire.users import MAX_BODY_BYTES, ErrorBody
 from mosswalk.wire.workers import Report
 
 log = logging.getLogger(__name__)
@@ -25,7 +25,7 @@
 
 def error_body(text: str) -> bytes:
     """A short error as JSON."""
-    return msgspec.json.encode(Failure(text[:300]))
+    return msgspec.json.encode(ErrorBody(text[:300]))
 
 
 def _response(reply: Reply) -> web.Response:
--- a/mosswalk/api/jobs.py
+++ b/mosswalk/api/jobs.py
@@ -13,7 +13,7 @@
 
 from mosswalk.actors import Clock
 from mosswalk.config import Settings, Team
-from mosswalk.jobs.admission import never_runs
+from mosswalk.jobs.admission import rejection_reason
 from mosswalk.jobs.state import Job, new_record, record_limits, withdraw_change
 from mosswalk.store import records
 from mosswalk.store.client import (
@@ -30,7 +30,7 @@
 from mosswalk.wire.users import (
     GANG,
     JOB_ID,
-    Failure,
+    ErrorBody,
     InvalidJobError,
     JobSpec,
     JobState,
@@ -62,7 +62,7 @@
 
 
 def _error(status: int, text: str, retry_after_s: int | None = None) -> Reply:
-    return Reply(status, msgspec.json.encode(Failure(text[:300])), retry_after_s)
+    return Reply(status, msgspec.json.encode(ErrorBody(text[:300])), retry_after_s)
 
 
 def open_state(record: JobRecord) -> JobState:
@@ -98,16 +98,16 @@
         # Whether all controllers can deal with gangs.
         self.gangs_allowed: Callable[[], bool] = lambda: True
         # Asks another controller that the state service serves, while it does not serve this one.
-        self.elsewhere: Callable[[str], Awaitable[PollAnswer | None]] | None = None
+        self.poll_other_controller: Callable[[str], Awaitable[PollAnswer | None]] | None = None
         # Tells the other controllers of a withdrawal.
         self.on_withdrawn: Callable[[Withdrawal], None] = lambda _: None
         self._final: OrderedDict[str, FinalRecord] = OrderedDict()
         self._types: tuple[MachineType, ...] = ()
-        mirror.listen(records.TYPES_KEY, self._types_changed)
+        mirror.listen(records.MACHINE_TYPES_KEY, self._types_changed)
 
     def _types_changed(self, _key: str, value: bytes | None, _version: int) -> None:
         if value is not None:
-            self._types = records.decode_types(value)
+            self._types = records.decode_machine_types(value)
 
     def _retry_after_s(self) -> int:
         # Spread out, so that users turned away together do not come back together.
@@ -154,14 +154,14 @@
     async def poll(self, job_id: str) -> Reply:
         """GET /api/jobs/{id}."""
         reply = await self.poll_here(job_id)
-        if reply.status == 503 and self.elsewhere is not None:
+        if reply.status == 503 and self.poll_other_controller is not None:
             # Else the jobs of users whose connections stay with us would look forgotten.
-            answer = await self.elsewhere(job_id)
+            answer = await self.poll_other_controller(job_id)
             if answer is not None and answer.status in (200, 404):
                 return Reply(answer.status, answer.body)
         return reply
 
-    async def poll_for_other(self, job_id: str) -> PollAnswer:
+    async def poll_for_peer(self, job_id: str) -> PollAnswer:
         """The same, for another controller; never asked on, or it would go in circles."""
         reply = await self.poll_here(job_id)
         return PollAnswer(reply.status, reply.body)
@@ -199,14 +199,14 @@
         if not self._types:
             known = await self._known(spec.id)
             return known or self._busy("machine types not known yet")
-        reason = never_runs(spec, self._types, self._teams)
+        reason = rejection_reason(spec, self._types, self._teams)
         if reason is not None:
             known = await self._known(spec.id)
             return known or _error(422, reason)
         if spec.kind == GANG and not self.gangs_allowed():
             known = await self._known(spec.id)
             return known or self._busy("gangs are taken once all controllers are upgraded")
-        if self._writer.wait_s() > _SUBMIT_S / 2:
+        if self._writer.estimated_wait_s() > _SUBMIT_S / 2:
             # It would wait for nothing: told at once when to come back, it may be in time.
             known = await self._known(spec.id)
             return known or self._busy("more is submitted than can be written")
@@ -226,7 +226,7 @@
         if len(value) > self._limits.value_bytes:
             log.error("%s: its description takes %d bytes", spec.id, len(value))
             return self._busy("the description is larger than can be stored")
-        change = Change({key: 0, records.final_key(spec.id): 0}, {key: Raw(value)}, impatient=True)
+        change = Change({key: 0, records.final_key(spec.id): 0}, {key: Raw(value)}, fail_fast=True)
         for _ in range(_TRIES):
             try:
                 revision = await self._writer.commit(change)
@@ -235,8 +235,8 @@
                 if known is not None:
                     return known
                 continue
-            self._mirror.apply_read(key, value, revision)
-            self._mirror.batch_done()
+            self._mirror.apply_response(key, value, revision)
+            self._mirror.notify_batch_applied()
             log.info("accepted %s: %s of %s, %d tasks", spec.id, spec.kind, spec.team, spec.tasks)
             return _state(201, JobState(spec.id, "pending"))
         return self._busy("try again")
@@ -264,14 +264,14 @@
             if record.completed():
                 return _state(200, JobState(job_id, "done"))
             change = withdraw_change(Job(record, version), self._clock.wall_us())
-            change.impatient = True
+            change.fail_fast = True
             try:
                 revision = await self._writer.commit(change)
             except ConflictError:
                 # Its owner wrote meanwhile: look again.
                 continue
             self._mirror.apply_change(change, revision)
-            self._mirror.batch_done()
+            self._mirror.notify_batch_applied()
             # Without a record the job was over at once.
             left = change.puts.get(records.job_key(job_id))
             self.on_withdrawn(
--- a/mosswalk/cli/client.py
+++ b/mosswalk/cli/client.py
@@ -49,10 +49,10 @@
     if options.command != "peers":
         print(text)
         return EXIT_OK
-    from mosswalk.cli.peers import table
+    from mosswalk.cli.peers import format_detection_view
 
     try:
-        print(table(text.encode()))
+        print(format_detection_view(text.encode()))
     except msgspec.DecodeError as error:
         print(f"mosswalk: {options.server}: unreadable answer: {error}", file=sys.stderr)
         return EXIT_UNAVAILABLE
--- a/mosswalk/cli/peers.py
+++ b/mosswalk/cli/peers.py
@@ -26,11 +26,11 @@
         peer.node,
         peer.state,
         "yes" if peer.suspected else "no",
-        f"{peer.since_s:.1f} s",
-        f"{peer.heard_s:.2f} s ago",
-        f"{peer.patience_s:.2f} s",
-        f"{peer.level:.2f}",
-        peer.why,
+        f"{peer.state_age_s:.1f} s",
+        f"{peer.last_heard_age_s:.2f} s ago",
+        f"{peer.timeout_s:.2f} s",
+        f"{peer.suspicion_level:.2f}",
+        peer.reason,
     )
 
 
@@ -41,15 +41,15 @@
     rows = [("HEARS", *nodes)]
     for observer in sorted({cell.observer for cell in cells}):
         found = (by_pair.get((observer, node)) for node in nodes)
-        told = (f"{c.state} {c.heard_s:.1f} s" if c is not None else "-" for c in found)
+        told = (f"{c.state} {c.last_heard_age_s:.1f} s" if c is not None else "-" for c in found)
         rows.append((observer, *told))
     return _aligned(rows)
 
 
-def table(body: bytes) -> str:
+def format_detection_view(body: bytes) -> str:
     """The text for a view; msgspec.DecodeError if it is none."""
     view = msgspec.json.decode(body, type=DetectionView)
-    force = "in force" if view.in_force else "not in force: not all controllers take part"
+    force = "in force" if view.active else "not in force: not all controllers take part"
     parts = [
         f"{view.node}: term {view.term}, leader {view.leader or 'none'}; detection {force};"
         f" stalls here {view.stalls}, freezes {view.freezes}",
--- a/mosswalk/cloud/actor.py
+++ b/mosswalk/cloud/actor.py
@@ -19,7 +19,7 @@
 _MOST_TRIES = 5
 
 
-class Rented(Struct):
+class RentResult(Struct):
     """A rental's machines; fewer than groups if there were not enough to be had."""
 
     groups: tuple[int, ...]
@@ -27,25 +27,25 @@
     machines: tuple[str, ...]
 
 
-class Released(Struct):
+class ReleaseResult(Struct):
     """These machines and everything on them are gone: the cloud has said so."""
 
     machines: tuple[str, ...]
 
 
-class Listed(Struct):
+class ListResult(Struct):
     """The machine list, somewhat old."""
 
     machines: tuple[wire.ListedMachine, ...]
 
 
-class Typed(Struct):
+class MachineTypesResult(Struct):
     """Machine types with current prices."""
 
     types: tuple[wire.MachineType, ...]
 
 
-CloudNews = Rented | Released | Listed | Typed
+CloudResult = RentResult | ReleaseResult | ListResult | MachineTypesResult
 
 
 class CloudCaller:
@@ -57,7 +57,7 @@
         clock: Clock,
         rng: random.Random,
         rps: float,
-        tell: Callable[[CloudNews], None],
+        tell: Callable[[CloudResult], None],
         entitled: Callable[[], bool],
         may_end: Callable[[], bool],
     ) -> None:
@@ -76,12 +76,12 @@
         self._release_wake = asyncio.Event()
         self._failing_since_us: int | None = None
 
-    def calls_left(self) -> int:
+    def available_calls(self) -> int:
         """How many calls could be made at once; one is kept for releases."""
         return max(0, int(self._bucket.available(self._clock.now_us())) - 1)
 
     async def _turn(self) -> None:
-        wait_us = self._bucket.wait_us(self._clock.now_us())
+        wait_us = self._bucket.reserve_us(self._clock.now_us())
         if wait_us:
             await asyncio.sleep(to_s(wait_us))
 
@@ -103,7 +103,7 @@
         The request's name is random, so that it is never used again.
         """
         name = f"r-{self._rng.getrandbits(64):016x}"
-        count = min(len(groups), wire.MAX_RENT)
+        count = min(len(groups), wire.MAX_MACHINES_PER_RENTAL)
         request = wire.RentRequest(name, pool[0], pool[1], pool[2], count)
         machines: tuple[str, ...] = ()
         for attempt in range(_MOST_TRIES):
@@ -122,16 +122,16 @@
                 # Repeated under the same name: if it was carried out, we get its machines.
                 self._failed("rental", error)
                 await asyncio.sleep(min(4.0, 0.5 * 2**attempt) * self._rng.uniform(0.7, 1.3))
-        self._tell(Rented(groups, pool, machines))
+        self._tell(RentResult(groups, pool, machines))
 
-    def release(self, names: list[str], *, served: bool = True) -> None:
+    def release(self, names: list[str], *, needs_state_service: bool = True) -> None:
         """Return machines; repeated until the cloud confirms it."""
         self._releases.update(names)
-        if not served:
+        if not needs_state_service:
             self._unserved.update(names)
         self._release_wake.set()
 
-    def forget(self) -> None:
+    def clear_pending_releases(self) -> None:
         """Another controller leads: what is left to return is its business."""
         self._releases.clear()
         self._unserved.clear()
@@ -149,7 +149,7 @@
             pause_s = 0.4
             while self._releases:
                 await self._turn()
-                batch = tuple(self._may_release()[: wire.MAX_RELEASE])
+                batch = tuple(self._may_release()[: wire.MAX_MACHINES_PER_RELEASE])
                 if not batch:
                     # As above; if we lead on, these wait until the state service has said so.
                     await asyncio.sleep(pause_s)
@@ -164,9 +164,9 @@
                 self._served()
                 self._releases.difference_update(batch)
                 self._unserved.difference_update(batch)
-                self._tell(Released(batch))
+                self._tell(ReleaseResult(batch))
 
-    async def refresh_list(self) -> None:
+    async def refresh_machine_list(self) -> None:
         """Read the whole machine list."""
         rows: list[wire.ListedMachine] = []
         after: str | None = None
@@ -182,9 +182,9 @@
             self._failed("list", error)
             return
         self._served()
-        self._tell(Listed(tuple(rows)))
+        self._tell(ListResult(tuple(rows)))
 
-    async def refresh_types(self) -> bool:
+    async def refresh_machine_types(self) -> bool:
         """Read machine types and prices; whether that worked."""
         try:
             await self._turn()
@@ -193,5 +193,5 @@
             self._failed("machine types", error)
             return False
         self._served()
-        self._tell(Typed(types.types))
+        self._tell(MachineTypesResult(types.types))
         return True
--- a/mosswalk/cloud/bucket.py
+++ b/mosswalk/cloud/bucket.py
@@ -37,7 +37,7 @@
         self._empty_us += tokens * self._gap_us
         return True
 
-    def wait_us(self, now_us: int, tokens: float = 1.0) -> int:
+    def reserve_us(self, now_us: int, tokens: float = 1.0) -> int:
         """Take tokens now or in advance; how long to wait before using them."""
         self._settle(now_us)
         self._empty_us += tokens * self._gap_us
--- a/mosswalk/cloud/client.py
+++ b/mosswalk/cloud/client.py
@@ -75,5 +75,5 @@
     async def list_page(self, after: str | None) -> wire.MachineList:
         """A page of the machine list."""
         more = f"after={after}&" if after is not None else ""
-        path = f"/machines?{more}limit={wire.MAX_LIST}"
+        path = f"/machines?{more}limit={wire.MAX_MACHINES_PER_PAGE}"
         return self._decode(wire.MachineList, *await self._call("GET", path))
--- a/mosswalk/config/__init__.py
+++ b/mosswalk/config/__init__.py
@@ -38,7 +38,7 @@
     address: str
 
 
-class Outside(Struct, frozen=True):
+class ServiceAddresses(Struct, frozen=True):
     """The addresses of the services mosswalk uses."""
 
     cloud: str
@@ -140,7 +140,7 @@
     zone: str
     serve_on: str
     cluster_listen: str
-    outside: Outside
+    outside: ServiceAddresses
     params: Params
     known: tuple[Peer, ...] = ()
     tuning: Tuning = Tuning()
--- a/mosswalk/detection/patience.py
+++ b/mosswalk/detection/adaptive_timeout.py
@@ -16,7 +16,7 @@
 _FEWEST = 16
 
 
-class LinkPatience:
+class AdaptiveTimeout:
     """The gaps between signs of life on one directed link."""
 
     def __init__(self, tuning: DetectionTuning) -> None:
@@ -32,7 +32,7 @@
     def _sketch() -> LogCollapsingLowestDenseDDSketch:
         return LogCollapsingLowestDenseDDSketch(_RELATIVE_ACCURACY, bin_limit=_MOST_BINS)
 
-    def add(self, gap_us: int) -> None:
+    def add_gap(self, gap_us: int) -> None:
         """Learn from a gap that has ended."""
         if self._gaps.count >= _GENERATION:
             self._gaps_before, self._gaps = self._gaps, self._sketch()
@@ -47,6 +47,6 @@
         learnt_us = to_us(self._margin * longest_s)
         return min(self._ceiling_us, max(self._floor_us, learnt_us))
 
-    def patience_us(self) -> int:
+    def timeout_us(self) -> int:
         """How long the link may be silent before its sender is suspected."""
         return self._patience_us
--- a/mosswalk/detection/detector.py
+++ b/mosswalk/detection/detector.py
@@ -13,14 +13,21 @@
 from mosswalk.actors import SECOND_US, Clock, to_s, to_us
 from mosswalk.config import Settings
 from mosswalk.config.detection import DetectionTuning
-from mosswalk.detection.describe import REASONS, matrix, peer_view
 from mosswalk.detection.fence import AuthorityFence
-from mosswalk.detection.heartbeats import DetectionLink, HeartbeatExchange
-from mosswalk.detection.quorum import Received, Vote, is_cut_off, is_dead, quorum_size, votes
+from mosswalk.detection.heartbeats import DetectionClient, HeartbeatExchange
+from mosswalk.detection.quorum import (
+    ReceivedHeartbeat,
+    Vote,
+    collect_votes,
+    is_cut_off,
+    is_dead,
+    quorum_size,
+)
 from mosswalk.detection.renewer import LeaseRenewer
 from mosswalk.detection.stall import StallMonitor
-from mosswalk.detection.suspicion import PeerSuspicion, StateChange
-from mosswalk.detection.view import DetectionFigures, DetectionView
+from mosswalk.detection.suspicion import PeerMonitor, StateChange
+from mosswalk.detection.view import DetectionMetrics, DetectionView
+from mosswalk.detection.view_builder import STATE_DESCRIPTIONS, build_matrix, build_peer_view
 from mosswalk.leadership.actor import Leadership
 from mosswalk.store.client import RefusedError, UnknownOutcomeError
 from mosswalk.store.records import Presence, Verdict
@@ -52,7 +59,7 @@
         tuning: DetectionTuning,
         leadership: Leadership,
         fence: AuthorityFence,
-        peers: DetectionLink,
+        peers: DetectionClient,
         client: LeaseEnder,
         clock: Clock,
         rng: random.Random,
@@ -66,7 +73,7 @@
         self._node = settings.host_name
         now_us = clock.now_us()
         self._suspicions = {
-            peer.host_name: PeerSuspicion(peer.host_name, tuning, now_us) for peer in settings.known
+            peer.host_name: PeerMonitor(peer.host_name, tuning, now_us) for peer in settings.known
         }
         self._controllers = len(self._suspicions) + 1
         limit_us = to_us(_STALL_PART * tuning.floor_s)
@@ -91,14 +98,14 @@
 
     # What others ask.
 
-    def in_force(self) -> bool:
+    def is_active(self) -> bool:
         """Whether the term says that all controllers took part."""
         term = self._leadership.term
         return term is not None and term.detects
 
     def suspected(self) -> frozenset[str]:
         """Those that get nothing new; who is gone has nothing, and keeps nobody waiting."""
-        if not self.in_force():
+        if not self.is_active():
             return frozenset()
         here = self._here()
         return frozenset(n for n, p in self._suspicions.items() if p.suspected and n in here)
@@ -118,16 +125,16 @@
             return Verdict(node, run, "quorum", tuple(vote.observer for vote in agreed))
         return Verdict(node, run, "lease")
 
-    def _votes(self, peer: PeerSuspicion) -> tuple[Vote, ...]:
+    def _votes(self, peer: PeerMonitor) -> tuple[Vote, ...]:
         now_us = self._clock.now_us()
-        return votes(peer, self._node, self._heartbeats.received, now_us, self._oldest_us)
+        return collect_votes(peer, self._node, self._heartbeats.received, now_us, self._oldest_us)
 
-    def arrived(self, heartbeat: Heartbeat) -> Heartbeat | None:
+    def handle_heartbeat(self, heartbeat: Heartbeat) -> Heartbeat | None:
         """A heartbeat has come; ours for the answer, or None to a stranger."""
         if heartbeat.node not in self._suspicions:
             return None
-        self._heartbeats.take(heartbeat)
-        return self._heartbeats.ours()
+        self._heartbeats.handle_heartbeat(heartbeat)
+        return self._heartbeats.own_heartbeat()
 
     async def probe(self, subject: str) -> ProbeAnswer:
         """Try to reach a controller for another one."""
@@ -141,13 +148,13 @@
         """Tick for ever."""
         while True:
             await asyncio.sleep(self._tuning.heartbeat_s * self._rng.uniform(0.9, 1.0))
-            self._heartbeats.note_stall()
-            self._stall.tick(self._clock.now_us(), self._clock.wall_us())
+            self._heartbeats.check_for_stall()
+            self._stall.record_tick(self._clock.now_us(), self._clock.wall_us())
             self.tick()
 
     def tick(self) -> None:
         """Send heartbeats and decide anew."""
-        now_us, listening_us = self._clock.now_us(), self._stall.listening_us
+        now_us, listening_us = self._clock.now_us(), self._stall.listening_since_us
         self._note_presences(now_us, listening_us)
         for node, peer in self._suspicions.items():
             if self._exchange_due(peer, now_us):
@@ -156,10 +163,10 @@
                 self._probing.add(node)
                 self._spawn(self._probe_others(peer))
             self._observe(peer)
-        if self.in_force() and self.fence.may_act():
+        if self.is_active() and self.fence.may_act():
             self._judge(now_us, listening_us)
 
-    def _exchange_due(self, peer: PeerSuspicion, now_us: int) -> bool:
+    def _exchange_due(self, peer: PeerMonitor, now_us: int) -> bool:
         """Whether to send a heartbeat: one exchange a pair and period tells both of each other.
 
         Now and then each has to ask itself, to know that its own requests arrive.
@@ -167,8 +174,8 @@
         if peer.suspected or peer.state != "alive":
             return True
         heartbeat_us = to_us(self._tuning.heartbeat_s)
-        unheard = now_us - peer.heard_us > _EXCHANGE_PART * heartbeat_us
-        return unheard or now_us - peer.answered_us > _ASK_PERIODS * heartbeat_us
+        unheard = now_us - peer.last_heard_at_us > _EXCHANGE_PART * heartbeat_us
+        return unheard or now_us - peer.last_answered_at_us > _ASK_PERIODS * heartbeat_us
 
     def _start_exchange(self, node: str) -> None:
         if node not in self._exchanging:
@@ -181,7 +188,7 @@
         finally:
             self._exchanging.discard(node)
 
-    async def _probe_others(self, peer: PeerSuspicion) -> None:
+    async def _probe_others(self, peer: PeerMonitor) -> None:
         """Ask third controllers before anything is concluded from a silence."""
         try:
             await self._heartbeats.probe_through_others(peer)
@@ -192,8 +199,8 @@
     def _here(self) -> dict[str, Presence]:
         return self._leadership.present
 
-    def _observe(self, peer: PeerSuspicion) -> None:
-        change = peer.observe(self._clock.now_us(), self._stall.listening_us)
+    def _observe(self, peer: PeerMonitor) -> None:
+        change = peer.update_state(self._clock.now_us(), self._stall.listening_since_us)
         if change is None:
             return
         self._log_change(change)
@@ -207,7 +214,7 @@
             present = self._here().get(node)
             if present is not None and present.run != self._known_runs.get(node):
                 self._known_runs[node] = present.run
-                peer.heard(present.run, now_us, listening_us)
+                peer.record_contact(present.run, now_us, listening_us)
 
     def _log_change(self, change: StateChange) -> None:
         log.info(
@@ -216,8 +223,8 @@
             change.before,
             change.after,
             change.silence_us / SECOND_US,
-            change.patience_us / SECOND_US,
-            REASONS[change.after],
+            change.timeout_us / SECOND_US,
+            STATE_DESCRIPTIONS[change.after],
         )
 
     # Verdicts.
@@ -236,7 +243,7 @@
         if leads:
             self._leadership.note_unreachable(self._cut_off & self._here().keys())
 
-    def _judge_one(self, peer: PeerSuspicion, now_us: int, listening_us: int) -> None:
+    def _judge_one(self, peer: PeerMonitor, now_us: int, listening_us: int) -> None:
         present = self._here().get(peer.node)
         if present is None or present.run != peer.run or present.lease is UNSET:
             return
@@ -250,7 +257,7 @@
         self._fencing.add(peer.node)
         self._spawn(self._fence_off(peer, verdict, present.lease))
 
-    async def _fence_off(self, peer: PeerSuspicion, verdict: Verdict, lease: int) -> None:
+    async def _fence_off(self, peer: PeerMonitor, verdict: Verdict, lease: int) -> None:
         """End a lease; where the state service does not do so, no verdict is given."""
         try:
             await self._client.end_lease(lease)
@@ -259,8 +266,8 @@
             return
         finally:
             self._fencing.discard(peer.node)
-        after_us = self._clock.now_us() - peer.heard_us
-        peer.judged = True
+        after_us = self._clock.now_us() - peer.last_heard_at_us
+        peer.verdict_given = True
         self._given[peer.node] = verdict
         self._time_to_verdict_us = after_us
         self._verdict_count += 1
@@ -274,11 +281,11 @@
 
     # What operators see.
 
-    def figures(self) -> DetectionFigures:
+    def metrics(self) -> DetectionMetrics:
         """Counts for the metrics."""
-        now_us, listening_us = self._clock.now_us(), self._stall.listening_us
+        now_us, listening_us = self._clock.now_us(), self._stall.listening_since_us
         peers = self._suspicions.values()
-        return DetectionFigures(
+        return DetectionMetrics(
             sum(peer.suspicions for peer in peers),
             sum(peer.false_suspicions for peer in peers),
             self._verdict_count,
@@ -286,10 +293,10 @@
             self._stall.stalls,
             self.fence.freezes,
             self.renewer.renewals if self.renewer is not None else 0,
-            {peer.node: peer.level(now_us, listening_us) for peer in peers},
+            {peer.node: peer.suspicion_level(now_us, listening_us) for peer in peers},
         )
 
-    def _is_dead(self, peer: PeerSuspicion) -> bool:
+    def _is_dead(self, peer: PeerMonitor) -> bool:
         """Whether it is gone from the state service and the term has been made without it."""
         term = self._leadership.term
         runs = term.runs if term is not None else {}
@@ -298,20 +305,22 @@
     def view(self) -> DetectionView:
         """Who reaches whom, as far as is known here."""
         now_us = self._clock.now_us()
-        own = Received(self._heartbeats.ours(), now_us)
+        own = ReceivedHeartbeat(self._heartbeats.own_heartbeat(), now_us)
         term = self._leadership.term
         return DetectionView(
             self._node,
             self._leadership.leader(),
-            self._leadership.epoch(),
-            self.in_force(),
+            self._leadership.term_number(),
+            self.is_active(),
             self._stall.stalls,
             self.fence.freezes,
             tuple(
-                peer_view(peer, now_us, self._stall.listening_us, dead=self._is_dead(peer))
+                build_peer_view(
+                    peer, now_us, self._stall.listening_since_us, dead=self._is_dead(peer)
+                )
                 for peer in self._suspicions.values()
             ),
-            matrix({**self._heartbeats.received, self._node: own}, now_us),
+            build_matrix({**self._heartbeats.received, self._node: own}, now_us),
             term.verdicts if term is not None else (),
         )
 
--- a/mosswalk/detection/fence.py
+++ b/mosswalk/detection/fence.py
@@ -47,7 +47,7 @@
         self.freezes = 0
 
     @property
-    def progress_us(self) -> int:
+    def last_progress_at_us(self) -> int:
         """When the loop last made progress."""
         return self._progress_us
 
@@ -65,7 +65,7 @@
         self._look()
         return not self._withheld
 
-    def may_keep_alive(self) -> bool:
+    def may_renew_worker_leases(self) -> bool:
         """Whether a leader may renew workers' leases, within the bound for outages.
 
         An outage can't be told apart by waiting: the bound was made for not knowing.
--- a/mosswalk/detection/renewer.py
+++ b/mosswalk/detection/renewer.py
@@ -24,14 +24,14 @@
     """Whose lease it is. Read and written from the thread: whole attributes only."""
 
     lease: int | None
-    lease_us: int
+    lease_renewed_at_us: int
 
 
 class ProgressSource(Protocol):
     """Who knows when the main loop last made progress."""
 
     @property
-    def progress_us(self) -> int:
+    def last_progress_at_us(self) -> int:
         """When the loop last made progress."""
 
 
@@ -73,7 +73,7 @@
         self.renewals = 0
 
     @property
-    def bound_us(self) -> int:
+    def max_lease_after_progress_us(self) -> int:
         """The longest that a lease outlives the main loop's last progress."""
         return self._progress_us + self._timeout_us + self._ttl_us
 
@@ -100,9 +100,13 @@
 
     async def _renew_once(self, client: StateClient) -> None:
         asked_us = self._clock.now_us()
-        lease, renewed_us = self._holder.lease, self._holder.lease_us
+        lease, renewed_us = self._holder.lease, self._holder.lease_renewed_at_us
         due = renewal_due(
-            asked_us, renewed_us, self._progress.progress_us, self._renew_us, self._progress_us
+            asked_us,
+            renewed_us,
+            self._progress.last_progress_at_us,
+            self._renew_us,
+            self._progress_us,
         )
         if lease is None or not due:
             return
@@ -116,4 +120,4 @@
             return
         self.renewals += 1
         if self._holder.lease == lease:
-            self._holder.lease_us = max(self._holder.lease_us, asked_us)
+            self._holder.lease_renewed_at_us = max(self._holder.lease_renewed_at_us, asked_us)
--- a/mosswalk/detection/stall.py
+++ b/mosswalk/detection/stall.py
@@ -16,22 +16,22 @@
         self._ticked_us = now_us
         self._offset_us = wall_us - now_us
         # Since when this process has been listening without a break.
-        self.listening_us = now_us
+        self.listening_since_us = now_us
         self.stalls = 0
 
-    def tick(self, now_us: int, wall_us: int) -> None:
+    def record_tick(self, now_us: int, wall_us: int) -> None:
         """The loop has come round."""
         self._ticked_us = now_us
         self._offset_us = wall_us - now_us
 
-    def look(self, now_us: int, wall_us: int, expected_us: int) -> int:
+    def check(self, now_us: int, wall_us: int, expected_us: int) -> int:
         """How long this process stood still, if it did; ticks are ``expected_us`` apart."""
         late_us = now_us - self._ticked_us - expected_us
         jump_us = abs(wall_us - now_us - self._offset_us)
         stall_us = max(late_us, jump_us)
         if stall_us <= self._limit_us:
             return 0
-        self.tick(now_us, wall_us)
+        self.record_tick(now_us, wall_us)
         self.stalls += 1
-        self.listening_us = now_us
+        self.listening_since_us = now_us
         return stall_us
--- a/mosswalk/detection/suspicion.py
+++ b/mosswalk/detection/suspicion.py
@@ -6,7 +6,7 @@
 
 from mosswalk.actors import to_us
 from mosswalk.config.detection import DetectionTuning
-from mosswalk.detection.patience import LinkPatience
+from mosswalk.detection.adaptive_timeout import AdaptiveTimeout
 from mosswalk.wire.peers import LinkState
 
 # A suspicion that comes within this many times ``settle_most_s`` of the last one is a recurrence.
@@ -20,10 +20,10 @@
     before: LinkState
     after: LinkState
     silence_us: int
-    patience_us: int
+    timeout_us: int
 
 
-class PeerSuspicion:
+class PeerMonitor:
     """One other controller as this one hears it.
 
     ``state`` is what is heard now. ``suspected`` outlives it by the damping, so that a link that
@@ -33,25 +33,25 @@
     def __init__(self, node: str, tuning: DetectionTuning, now_us: int) -> None:
         self.node = node
         self.run = ""
-        self.patience = LinkPatience(tuning)
-        self.heard_us = now_us
+        self.timeout = AdaptiveTimeout(tuning)
+        self.last_heard_at_us = now_us
         self.state: LinkState = "alive"
         self.state_since_us = now_us
         # Connections to it have been refused since it was last heard.
         self.refused = False
         # Since when it has been saying that it doesn't hear us.
-        self.misses_us_since_us: int | None = None
+        self.not_receiving_since_us: int | None = None
         # Our own requests to it: when one was last answered, and since when none was.
-        self.answered_us = now_us
+        self.last_answered_at_us = now_us
         self.unanswered_since_us: int | None = None
         # A third controller has reached it, or told that it hears it.
-        self.heard_elsewhere_us: int | None = None
+        self.heard_by_others_at_us: int | None = None
         # Third controllers have been asked in this silence, and have answered or not.
         self.probed = False
         # A quorum's verdict has been given in this silence.
-        self.judged = False
+        self.verdict_given = False
         self.suspected = False
-        self.suspected_us = now_us
+        self.suspected_since_us = now_us
         self.suspicions = 0
         self.false_suspicions = 0
         self._settle_us = to_us(tuning.settle_s)
@@ -62,28 +62,28 @@
 
     def silence_us(self, now_us: int, listening_us: int) -> int:
         """How long it has not been heard while this process listened."""
-        return now_us - max(self.heard_us, listening_us)
+        return now_us - max(self.last_heard_at_us, listening_us)
 
-    def level(self, now_us: int, listening_us: int) -> float:
+    def suspicion_level(self, now_us: int, listening_us: int) -> float:
         """The silence in parts of the patience; suspicion begins at 1."""
-        return self.silence_us(now_us, listening_us) / self.patience.patience_us()
+        return self.silence_us(now_us, listening_us) / self.timeout.timeout_us()
 
-    def heard(self, run: str, now_us: int, listening_us: int) -> None:
+    def record_contact(self, run: str, now_us: int, listening_us: int) -> None:
         """A sign of life has come."""
         if run != self.run:
             self._restarted(run, now_us)
-        elif self.heard_us >= listening_us:
+        elif self.last_heard_at_us >= listening_us:
             # Else a part of the gap was our own.
-            self.patience.add(now_us - self.heard_us)
-        self.heard_us = now_us
-        self.refused = self.probed = self.judged = False
+            self.timeout.add_gap(now_us - self.last_heard_at_us)
+        self.last_heard_at_us = now_us
+        self.refused = self.probed = self.verdict_given = False
 
-    def answered(self, now_us: int) -> None:
+    def record_answer(self, now_us: int) -> None:
         """It has answered a request of ours."""
-        self.answered_us = now_us
+        self.last_answered_at_us = now_us
         self.unanswered_since_us = None
 
-    def unanswered(self, asked_us: int, *, refused: bool) -> None:
+    def record_failed_request(self, asked_us: int, *, refused: bool) -> None:
         """It has not answered a request that was sent at ``asked_us``."""
         self.refused = refused
         if self.unanswered_since_us is None:
@@ -91,18 +91,18 @@
 
     def _hears_us(self, now_us: int, listening_us: int) -> bool:
         """Whether what we send reaches it, by its own word and by its answers."""
-        patience_us = self.patience.patience_us()
+        patience_us = self.timeout.timeout_us()
         return all(
             since_us is None or now_us - max(since_us, listening_us) <= patience_us
-            for since_us in (self.misses_us_since_us, self.unanswered_since_us)
+            for since_us in (self.not_receiving_since_us, self.unanswered_since_us)
         )
 
-    def said_of_us(self, misses: bool, now_us: int) -> None:
+    def record_not_receiving(self, misses: bool, now_us: int) -> None:
         """It has said whether it misses us."""
         if not misses:
-            self.misses_us_since_us = None
-        elif self.misses_us_since_us is None:
-            self.misses_us_since_us = now_us
+            self.not_receiving_since_us = None
+        elif self.not_receiving_since_us is None:
+            self.not_receiving_since_us = now_us
 
     def _restarted(self, run: str, now_us: int) -> None:
         """Another run: what was held of the one before says nothing of it."""
@@ -110,16 +110,16 @@
         self.state = "alive"
         self.state_since_us = now_us
         self.suspected = False
-        self.misses_us_since_us = None
+        self.not_receiving_since_us = None
         self.unanswered_since_us = None
-        self.heard_elsewhere_us = None
+        self.heard_by_others_at_us = None
         self._returned_us = None
 
     def needs_probe(self, now_us: int, listening_us: int) -> bool:
         """Whether others are to be asked before anything is concluded from its silence."""
-        return not self.probed and self.level(now_us, listening_us) > 1
+        return not self.probed and self.suspicion_level(now_us, listening_us) > 1
 
-    def observe(self, now_us: int, listening_us: int) -> StateChange | None:
+    def update_state(self, now_us: int, listening_us: int) -> StateChange | None:
         """Decide the state anew; what has changed."""
         before = self.state
         self.state = self._judge(now_us, listening_us)
@@ -129,18 +129,18 @@
         if self.state == before:
             return None
         silence_us = self.silence_us(now_us, listening_us)
-        return StateChange(self.node, before, self.state, silence_us, self.patience.patience_us())
+        return StateChange(self.node, before, self.state, silence_us, self.timeout.timeout_us())
 
     def _judge(self, now_us: int, listening_us: int) -> LinkState:
-        patience_us = self.patience.patience_us()
+        patience_us = self.timeout.timeout_us()
         if self.silence_us(now_us, listening_us) > patience_us:
             if self.state in ("alive", "unhearing") and not self.probed:
                 return self.state
-            elsewhere_us = self.heard_elsewhere_us
+            elsewhere_us = self.heard_by_others_at_us
             if elsewhere_us is not None and now_us - elsewhere_us <= patience_us:
                 return "unheard"
             return "silent"
-        if self.state in ("silent", "unheard") and self.heard_us < listening_us:
+        if self.state in ("silent", "unheard") and self.last_heard_at_us < listening_us:
             # We stood still ourselves: it has been neither heard again nor missed for long enough.
             return self.state
         return "alive" if self._hears_us(now_us, listening_us) else "unhearing"
@@ -162,7 +162,7 @@
 
     def _begin_suspicion(self, now_us: int) -> None:
         self.suspected = True
-        self.suspected_us = now_us
+        self.suspected_since_us = now_us
         self.suspicions += 1
         window_us = _RECURS_WITHIN * self._settle_most_us
         recurs = self._restored_us is not None and now_us - self._restored_us < window_us
--- a/mosswalk/detection/view.py
+++ b/mosswalk/detection/view.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from msgspec import Struct
+from msgspec import Struct, field
 
 from mosswalk.store.records import Verdict
 from mosswalk.wire.peers import LinkState
@@ -16,11 +16,11 @@
     # "dead" once a verdict has been recorded and it has not come back.
     state: str
     suspected: bool
-    since_s: float
-    why: str
-    heard_s: float
-    patience_s: float
-    level: float
+    state_age_s: float = field(name="since_s")
+    reason: str = field(name="why")
+    last_heard_age_s: float = field(name="heard_s")
+    timeout_s: float = field(name="patience_s")
+    suspicion_level: float = field(name="level")
     suspicions: int
     false_suspicions: int
 
@@ -31,8 +31,8 @@
     observer: str
     node: str
     state: LinkState
-    heard_s: float
-    told_s: float
+    last_heard_age_s: float = field(name="heard_s")
+    report_age_s: float = field(name="told_s")
 
 
 class DetectionView(Struct, frozen=True):
@@ -42,7 +42,7 @@
     leader: str | None
     term: int
     # Whether the term says that detection is in force.
-    in_force: bool
+    active: bool = field(name="in_force")
     stalls: int
     freezes: int
     peers: tuple[PeerView, ...]
@@ -50,7 +50,7 @@
     verdicts: tuple[Verdict, ...]
 
 
-class DetectionFigures(Struct, frozen=True):
+class DetectionMetrics(Struct, frozen=True):
     """Counts for the metrics, since this process began."""
 
     suspicions: int
@@ -60,5 +60,5 @@
     time_to_verdict_s: float
     stalls: int
     freezes: int
-    renewals_beside: int
-    levels: dict[str, float]
+    background_renewals: int
+    suspicion_levels: dict[str, float]
--- a/mosswalk/detection/describe.py
+++ b/mosswalk/detection/view_builder.py
@@ -5,14 +5,14 @@
 from collections.abc import Mapping
 
 from mosswalk.actors import to_s
-from mosswalk.detection.quorum import Received
-from mosswalk.detection.suspicion import PeerSuspicion
+from mosswalk.detection.quorum import ReceivedHeartbeat
+from mosswalk.detection.suspicion import PeerMonitor
 from mosswalk.detection.view import MatrixCell, PeerView
 from mosswalk.wire.peers import LinkState
 
 _MS_IN_S = 1000
 
-REASONS: dict[LinkState, str] = {
+STATE_DESCRIPTIONS: dict[LinkState, str] = {
     "alive": "heard",
     "silent": "not heard here, nor by those who were asked",
     "unheard": "not heard here, but by others",
@@ -20,7 +20,7 @@
 }
 
 
-def peer_view(peer: PeerSuspicion, now_us: int, listening_us: int, *, dead: bool) -> PeerView:
+def build_peer_view(peer: PeerMonitor, now_us: int, listening_us: int, *, dead: bool) -> PeerView:
     """One other controller."""
     return PeerView(
         peer.node,
@@ -28,16 +28,16 @@
         "dead" if dead else peer.state,
         peer.suspected,
         to_s(now_us - peer.state_since_us),
-        REASONS[peer.state],
-        to_s(now_us - peer.heard_us),
-        to_s(peer.patience.patience_us()),
-        peer.level(now_us, listening_us),
+        STATE_DESCRIPTIONS[peer.state],
+        to_s(now_us - peer.last_heard_at_us),
+        to_s(peer.timeout.timeout_us()),
+        peer.suspicion_level(now_us, listening_us),
         peer.suspicions,
         peer.false_suspicions,
     )
 
 
-def matrix(received: Mapping[str, Received], now_us: int) -> tuple[MatrixCell, ...]:
+def build_matrix(received: Mapping[str, ReceivedHeartbeat], now_us: int) -> tuple[MatrixCell, ...]:
     """Who hears whom, by each observer's last word."""
     return tuple(
         MatrixCell(
@@ -45,7 +45,7 @@
             row.node,
             row.state,
             row.heard_ms / _MS_IN_S,
-            to_s(now_us - last.arrived_us),
+            to_s(now_us - last.received_at_us),
         )
         for observer, last in sorted(received.items())
         for row in last.heartbeat.rows
--- a/mosswalk/factory/attribution.py
+++ b/mosswalk/factory/attribution.py
@@ -11,8 +11,8 @@
 
 from msgspec import Struct
 
-from mosswalk.factory.load import fits, weight
-from mosswalk.factory.view import Pool, View, WaitingTasks
+from mosswalk.factory.load import fits, machine_share
+from mosswalk.factory.view import FleetView, Pool, WaitingTasks
 from mosswalk.jobs.state import Job
 
 
@@ -21,16 +21,16 @@
 
     pools: tuple[Pool, ...]
     rank: int
-    weight: float
+    machines_needed: float
     estimates: list[float]
     # A machine that would stay mostly empty is not rented for them.
-    can_wait: bool
+    deferrable: bool
 
     def add(self, job: Job, amount: float, can_wait: bool) -> None:
         """Count more tasks."""
-        self.can_wait = self.can_wait and can_wait
+        self.deferrable = self.deferrable and can_wait
         self.rank = min(self.rank, job.rank)
-        self.weight += amount
+        self.machines_needed += amount
         self.estimates.append(job.spec.estimate_s)
 
 
@@ -40,7 +40,7 @@
     return tuple(
         pool
         for pool in pools
-        if (pool[2] if tasks.patient else spec.spot or not pool[2])
+        if (pool[2] if tasks.waits_for_spot else spec.spot or not pool[2])
         and (spec.zone is None or pool[1] == spec.zone)
         and tasks.rule.allows(pool[1])
     )
@@ -53,8 +53,8 @@
     pools: dict[str, tuple[Pool, ...]]
 
 
-def attribute(
-    unplaced: list[WaitingTasks], view: View, open_pools: Mapping[str, list[Pool]]
+def attribute_tasks(
+    unplaced: list[WaitingTasks], view: FleetView, open_pools: Mapping[str, list[Pool]]
 ) -> dict[str, list[TaskGroup]]:
     """Give each unplaced task to one shape: the cheapest whose pools are open."""
     choices = [_Choice(tasks, _usable_by_shape(tasks, view, open_pools)) for tasks in unplaced]
@@ -70,7 +70,7 @@
 
 
 def _usable_by_shape(
-    tasks: WaitingTasks, view: View, open_pools: Mapping[str, list[Pool]]
+    tasks: WaitingTasks, view: FleetView, open_pools: Mapping[str, list[Pool]]
 ) -> dict[str, tuple[Pool, ...]]:
     return {
         name: pools
@@ -83,7 +83,7 @@
     return any(pool[2] for pool in pools)
 
 
-def _totals(choices: list[_Choice], view: View) -> dict[tuple[str, bool], float]:
+def _totals(choices: list[_Choice], view: FleetView) -> dict[tuple[str, bool], float]:
     """All that waits, by shape and by whether spot machines of it would serve.
 
     What must have steady machines does not fill spot ones, nor the other way round.
@@ -92,12 +92,14 @@
     for choice in choices:
         for name, pools in choice.pools.items():
             key = (name, _has_spot(pools))
-            amount = weight(choice.tasks.job, view.types[name]) * choice.tasks.count
+            amount = machine_share(choice.tasks.job, view.types[name]) * choice.tasks.count
             totals[key] = totals.get(key, 0.0) + amount
     return totals
 
 
-def _cheapest(choice: _Choice, view: View, totals: Mapping[tuple[str, bool], float]) -> str | None:
+def _cheapest(
+    choice: _Choice, view: FleetView, totals: Mapping[tuple[str, bool], float]
+) -> str | None:
     """The shape on which tasks cost least.
 
     That is the price of the room a task takes, with its part of what would stay empty if all that
@@ -109,16 +111,16 @@
         price = min(shape.spot_price if pool[2] else shape.price for pool in pools)
         total = totals[(name, _has_spot(pools))]
         empty = math.ceil(total) / total
-        costs.append((price * weight(choice.tasks.job, shape) * empty, name))
+        costs.append((price * machine_share(choice.tasks.job, shape) * empty, name))
     return min(costs)[1] if costs else None
 
 
 def _add(
-    groups: list[TaskGroup], choice: _Choice, name: str, view: View, *, can_wait: bool
+    groups: list[TaskGroup], choice: _Choice, name: str, view: FleetView, *, can_wait: bool
 ) -> None:
     """Count tasks with those that may use the same pools."""
     job, pools = choice.tasks.job, choice.pools[name]
-    amount = weight(job, view.types[name]) * choice.tasks.count
+    amount = machine_share(job, view.types[name]) * choice.tasks.count
     for group in groups:
         if group.pools == pools:
             group.add(job, amount, can_wait)
@@ -126,7 +128,7 @@
     groups.append(TaskGroup(pools, job.rank, amount, [job.spec.estimate_s], can_wait))
 
 
-def _has_home(tasks: WaitingTasks, there: set[Pool], view: View) -> bool:
+def _has_home(tasks: WaitingTasks, there: set[Pool], view: FleetView) -> bool:
     """Whether there is a machine that could run the tasks once it has room."""
     return any(
         pool[0] in view.types and fits(tasks.job, view.types[pool[0]])
--- a/mosswalk/factory/booting.py
+++ b/mosswalk/factory/booting.py
@@ -4,12 +4,12 @@
 
 from collections.abc import Mapping
 
-from mosswalk.factory.view import View, WaitingTasks
-from mosswalk.jobs.state import milli_room
-from mosswalk.placement.capacity import Room, ZoneRule
+from mosswalk.factory.view import FleetView, WaitingTasks
+from mosswalk.jobs.state import milli_floor
+from mosswalk.placement.capacity import FreeCapacity, ZoneRule
 
 
-def left_after_booting(view: View) -> list[WaitingTasks]:
+def subtract_booting_capacity(view: FleetView) -> list[WaitingTasks]:
     """Waiting tasks less those that requested and booting machines will take."""
     rooms = _rooms_to_come(view)
     booting = {room.machine: room for room in rooms}
@@ -25,50 +25,50 @@
     return left
 
 
-def _rooms_to_come(view: View) -> list[Room]:
+def _rooms_to_come(view: FleetView) -> list[FreeCapacity]:
     """The rooms of machines that are not up yet."""
     rooms = []
     for m in view.machines:
         shape = view.types.get(m.pool[0])
         if m.phase != "up" and shape is not None:
             rooms.append(
-                Room(
+                FreeCapacity(
                     m.name,
                     m.pool[0],
                     m.pool[1],
                     m.pool[2],
                     0,
-                    milli_room(shape.cpus),
-                    milli_room(shape.gpus),
-                    milli_room(shape.memory_gb),
+                    milli_floor(shape.cpus),
+                    milli_floor(shape.gpus),
+                    milli_floor(shape.memory_gb),
                 )
             )
     return rooms
 
 
-def _take_rooms(tasks: WaitingTasks, rooms: list[Room]) -> WaitingTasks:
+def _take_rooms(tasks: WaitingTasks, rooms: list[FreeCapacity]) -> WaitingTasks:
     """Give a job's tasks as much of the rooms as they may have; those that are left."""
-    rule = ZoneRule(tasks.rule.one_zone, tasks.rule.most_in_zone, dict(tasks.rule.counts))
+    rule = ZoneRule(tasks.rule.one_zone, tasks.rule.max_in_zone, dict(tasks.rule.counts))
     count = tasks.count
     for room in rooms:
         if not count:
             break
-        if not room.holds(tasks.job) or not room.allows(tasks.job):
+        if not room.fits(tasks.job) or not room.allows(tasks.job):
             continue
-        taken = min(count, room.most(tasks.job), rule.most_more(room.zone))
+        taken = min(count, room.max_tasks(tasks.job), rule.remaining_in_zone(room.zone))
         if taken > 0:
-            room.take(tasks.job, taken)
+            room.allocate(tasks.job, taken)
             rule.add(room.zone, taken)
             count -= taken
-    return WaitingTasks(tasks.job, count, rule, tasks.patient, tasks.urgent)
+    return WaitingTasks(tasks.job, count, rule, tasks.waits_for_spot, tasks.urgent)
 
 
-def _note_loads(view: View, booting: Mapping[str, Room]) -> None:
+def _note_loads(view: FleetView, booting: Mapping[str, FreeCapacity]) -> None:
     """A machine that is not up counts as loaded by what it will take."""
     for m in view.machines:
         if m.name in booting:
             room, shape = booting[m.name], view.types[m.pool[0]]
             m.load = 1 - min(
-                room.cpus / max(1, milli_room(shape.cpus)),
-                room.memory / max(1, milli_room(shape.memory_gb)),
+                room.cpus / max(1, milli_floor(shape.cpus)),
+                room.memory / max(1, milli_floor(shape.memory_gb)),
             )
--- a/mosswalk/factory/consolidate.py
+++ b/mosswalk/factory/consolidate.py
@@ -15,7 +15,7 @@
 from msgspec import Struct, structs
 
 from mosswalk.jobs.state import Job
-from mosswalk.placement.capacity import Room, zone_rule
+from mosswalk.placement.capacity import FreeCapacity, zone_rule
 from mosswalk.store.records import Attempt
 
 # A machine more used than this is left as it is.
@@ -26,38 +26,40 @@
 _MOST_LOOKS = 48
 
 
-class Host(Struct):
+class ReplicaHost(Struct):
     """A machine that runs replicas."""
 
-    room: Room
+    capacity: FreeCapacity
     # The used part of its scarcer amount, and what it costs an hour.
     load: float
     price: float
     replicas: list[tuple[Job, Attempt]]
     # Nothing else runs there, and all its replicas have run for a while.
-    settled: bool
+    drainable: bool
 
 
 def _fits_elsewhere(
-    job: Job, attempt: Attempt, rooms: Iterable[Room], zone_of: MutableMapping[str, str]
-) -> Room | None:
+    job: Job, attempt: Attempt, rooms: Iterable[FreeCapacity], zone_of: MutableMapping[str, str]
+) -> FreeCapacity | None:
     rule = zone_rule(job, ChainMap({attempt.machine: ""}, zone_of))
     if rule is None:
         return None
     for room in rooms:
-        if not room.holds(job) or not room.allows(job) or not rule.allows(room.zone):
+        if not room.fits(job) or not room.allows(job) or not rule.allows(room.zone):
             continue
-        if room.fetch_s(job) <= _MOST_FETCH_S:
+        if room.image_fetch_s(job) <= _MOST_FETCH_S:
             return room
     return None
 
 
-def to_empty(hosts: Iterable[Host], zone_of: MutableMapping[str, str]) -> Host | None:
+def choose_machine_to_drain(
+    hosts: Iterable[ReplicaHost], zone_of: MutableMapping[str, str]
+) -> ReplicaHost | None:
     """The machine whose emptying saves most, if its replicas fit on the others."""
     everything = list(hosts)
-    candidates = [h for h in everything if h.settled and 0 < h.load < _MOST_USED]
-    candidates.sort(key=lambda h: (-h.price * (1 - h.load), h.room.machine))
-    fullest_first = sorted(everything, key=lambda h: (-h.load, h.room.machine))
+    candidates = [h for h in everything if h.drainable and 0 < h.load < _MOST_USED]
+    candidates.sort(key=lambda h: (-h.price * (1 - h.load), h.capacity.machine))
+    fullest_first = sorted(everything, key=lambda h: (-h.load, h.capacity.machine))
     for host in candidates[:_MOST_LOOKS]:
         if _can_be_emptied(host, fullest_first, zone_of):
             return host
@@ -65,17 +67,17 @@
 
 
 def _can_be_emptied(
-    host: Host, fullest_first: list[Host], zone_of: MutableMapping[str, str]
+    host: ReplicaHost, fullest_first: list[ReplicaHost], zone_of: MutableMapping[str, str]
 ) -> bool:
     """Whether all replicas of a machine fit on others."""
-    taken: dict[str, Room] = {}
+    taken: dict[str, FreeCapacity] = {}
     for job, attempt in host.replicas:
         # Onto fuller machines only, or two of them would trade replicas for ever.
         fuller = takewhile(lambda other: other.load >= host.load, fullest_first)
-        rooms = (taken.get(h.room.machine, h.room) for h in fuller if h is not host)
+        rooms = (taken.get(h.capacity.machine, h.capacity) for h in fuller if h is not host)
         found = _fits_elsewhere(job, attempt, rooms, zone_of)
         if found is None:
             return False
         room = taken.setdefault(found.machine, structs.replace(found))
-        room.take(job)
+        room.allocate(job)
     return True
--- a/mosswalk/factory/cordon.py
+++ b/mosswalk/factory/cordon.py
@@ -26,7 +26,7 @@
     used_memory: int
     free_memory: int
     price: float
-    movable: bool
+    self_draining: bool
 
     def load(self) -> float:
         """The used part of its scarcer amount."""
@@ -36,7 +36,7 @@
         )
 
 
-def to_cordon(machines: Iterable[Occupancy]) -> set[str]:
+def choose_machines_to_cordon(machines: Iterable[Occupancy]) -> set[str]:
     """The machines that waste most, as far as the others have room for their work."""
     everything = list(machines)
     reserve_cpus = _RESERVE * sum(m.used_cpus for m in everything)
@@ -45,7 +45,7 @@
     spare_memory = sum(m.free_memory for m in everything) - reserve_memory
     cordoned: set[str] = set()
     for machine in sorted(everything, key=lambda m: (-m.price * (1 - m.load()), m.machine)):
-        if not machine.movable or machine.load() >= _MOST_USED:
+        if not machine.self_draining or machine.load() >= _MOST_USED:
             continue
         # Without it, its free room is lost and its work needs room elsewhere.
         need_cpus = machine.free_cpus + machine.used_cpus
--- a/mosswalk/factory/load.py
+++ b/mosswalk/factory/load.py
@@ -4,22 +4,25 @@
 
 from msgspec import Struct
 
-from mosswalk.jobs.admission import fits_type
-from mosswalk.jobs.state import Job, milli
+from mosswalk.jobs.admission import fits_machine_type
+from mosswalk.jobs.state import Job, milli_ceil
 from mosswalk.wire.cloud import MachineType
 
 
-def weight(job: Job, machine: MachineType) -> float:
+def machine_share(job: Job, machine: MachineType) -> float:
     """How much of an empty machine one task takes, by its scarcest amount."""
-    parts = [job.cpus / max(1, milli(machine.cpus)), job.memory / max(1, milli(machine.memory_gb))]
+    parts = [
+        job.cpus / max(1, milli_ceil(machine.cpus)),
+        job.memory / max(1, milli_ceil(machine.memory_gb)),
+    ]
     if job.gpus:
-        parts.append(job.gpus / max(1, milli(machine.gpus)))
+        parts.append(job.gpus / max(1, milli_ceil(machine.gpus)))
     return max(parts)
 
 
 def fits(job: Job, machine: MachineType) -> bool:
     """Whether the job's tasks may and can run on a shape."""
-    return fits_type(job.spec, machine)
+    return fits_machine_type(job.spec, machine)
 
 
 def load_ratio(demand: float, slots: int) -> float:
@@ -34,7 +37,7 @@
 
     since_us: int | None = None
 
-    def holds(self, beyond: bool, now_us: int, dwell_us: int) -> bool:
+    def update(self, beyond: bool, now_us: int, dwell_us: int) -> bool:
         """Note the ratio's state now; whether it has lasted."""
         if not beyond:
             self.since_us = None
--- a/mosswalk/factory/pareto.py
+++ b/mosswalk/factory/pareto.py
@@ -13,14 +13,14 @@
 from msgspec import Struct
 
 
-class PoolFigures(Struct, frozen=True):
+class PoolEstimate(Struct, frozen=True):
     """What is known of a pool: alpha, q, b and phi of the paper."""
 
     pool: tuple[str, str, bool]
     price: float
     queue_us: float
     boot_us: float
-    slowness: float = 1.0
+    slowdown: float = 1.0
 
     def delay_us(self) -> float:
         """q + b."""
@@ -32,13 +32,13 @@
 
     time_us: float
     cost: float
-    pools: tuple[PoolFigures, ...]
+    pools: tuple[PoolEstimate, ...]
 
 
-def evaluate(pools: Sequence[PoolFigures], walltime_us: float) -> Action:
+def evaluate(pools: Sequence[PoolEstimate], walltime_us: float) -> Action:
     """Procedure ActionExecutionTimeAndCost."""
     first = min(pools, key=lambda p: (p.delay_us(), p.price, p.pool))
-    work_us = first.slowness * walltime_us
+    work_us = first.slowdown * walltime_us
     cost = first.price * (first.boot_us + work_us)
     cost += sum(p.price * p.boot_us for p in pools if p is not first)
     delay_us = first.delay_us()
@@ -66,7 +66,7 @@
     return kept
 
 
-def pareto_front(pools: Iterable[PoolFigures], walltime_us: float) -> list[Action]:
+def pareto_front(pools: Iterable[PoolEstimate], walltime_us: float) -> list[Action]:
     """Procedure ParetoSet over every non-empty set of pools."""
     choices = sorted(pools, key=lambda p: p.pool)
     front: list[Action] = []
@@ -96,6 +96,6 @@
     )
 
 
-def affordable(action: Action, calls: int) -> tuple[PoolFigures, ...]:
+def pools_within_call_limit(action: Action, calls: int) -> tuple[PoolEstimate, ...]:
     """When cloud calls are short, the set keeps its best pools by q + b (DESIGN)."""
     return tuple(sorted(action.pools, key=lambda p: (p.delay_us(), p.pool))[: max(0, calls)])
--- a/mosswalk/factory/pools.py
+++ b/mosswalk/factory/pools.py
@@ -8,7 +8,7 @@
 from msgspec import Struct
 
 from mosswalk.actors import to_us
-from mosswalk.factory.pareto import PoolFigures
+from mosswalk.factory.pareto import PoolEstimate
 from mosswalk.factory.view import Pool
 from mosswalk.wire.cloud import MachineType
 
@@ -39,13 +39,13 @@
         """What is known of a pool."""
         return self._pools.setdefault(pool, PoolState())
 
-    def wanted(self, pool: Pool, now_us: int) -> None:
+    def on_rental_requested(self, pool: Pool, now_us: int) -> None:
         """A machine of it is to be rented."""
         state = self.state(pool)
         if state.wanted_since_us is None:
             state.wanted_since_us = now_us
 
-    def granted(self, pool: Pool, now_us: int) -> None:
+    def on_rental_granted(self, pool: Pool, now_us: int) -> None:
         """A rental was filled: q is the time since it was first wanted."""
         state = self.state(pool)
         if state.wanted_since_us is not None:
@@ -53,18 +53,18 @@
         state.wanted_since_us = None
         state.refusals = 0
 
-    def refused(self, pool: Pool, now_us: int) -> None:
+    def on_rental_refused(self, pool: Pool, now_us: int) -> None:
         """The cloud has none there: leave the pool alone for a while."""
         state = self.state(pool)
         state.refusals += 1
         wait_us = _REFUSED_US << min(_MOST_DOUBLINGS, state.refusals - 1)
         state.refused_until_us = now_us + min(_MOST_REFUSED_US, wait_us)
 
-    def booted(self, pool: Pool, took_us: int) -> None:
+    def on_machine_booted(self, pool: Pool, took_us: int) -> None:
         """A machine has come up."""
         self.state(pool).boot_us = float(took_us)
 
-    def has_room(self, pool: Pool, machines: int) -> bool:
+    def is_below_cap(self, pool: Pool, machines: int) -> bool:
         """Whether a pool with so many machines is below its cap."""
         return machines < self._cap
 
@@ -74,11 +74,11 @@
         return [
             pool
             for pool in pools
-            if self.has_room(pool, counts.get(pool, 0))
+            if self.is_below_cap(pool, counts.get(pool, 0))
             and self.state(pool).refused_until_us <= now_us
         ]
 
-    def figures(self, shape: MachineType, pools: Iterable[Pool]) -> list[PoolFigures]:
+    def estimates(self, shape: MachineType, pools: Iterable[Pool]) -> list[PoolEstimate]:
         """Price and times of pools; those that were not measured take the median."""
         boots = [s.boot_us for s in self._pools.values() if s.boot_us is not None]
         queues = [s.queue_us for s in self._pools.values() if s.queue_us is not None]
@@ -88,7 +88,7 @@
         for pool in pools:
             state = self.state(pool)
             figures.append(
-                PoolFigures(
+                PoolEstimate(
                     pool,
                     shape.spot_price if pool[2] else shape.price,
                     queue_us if state.queue_us is None else state.queue_us,
--- a/mosswalk/factory/view.py
+++ b/mosswalk/factory/view.py
@@ -20,8 +20,8 @@
     name: str
     pool: Pool
     phase: str  # requested, booting, up
-    since_us: int
-    rented_us: int
+    phase_since_us: int
+    rented_at_us: int
     usable: bool
     idle_since_us: int | None
     load: float
@@ -37,19 +37,19 @@
     count: int
     rule: ZoneRule
     # May wait a while for spot machines rather than have steady ones rented.
-    patient: bool = False
+    waits_for_spot: bool = False
     # Prod, or within a guarantee: not to wait for others to fill a machine with it.
     urgent: bool = False
 
 
-class View(Struct):
+class FleetView(Struct):
     """All the factory decides on."""
 
     now_us: int
     types: Mapping[str, MachineType]
     machines: list[MachineView]
     waiting: list[WaitingTasks]
-    calls: int
+    calls_left: int
 
 
 class Rent(Struct, frozen=True):
@@ -59,17 +59,17 @@
     pools: tuple[Pool, ...]
 
 
-class GiveBack(Struct, frozen=True):
+class Release(Struct, frozen=True):
     """Return a machine."""
 
     machine: str
-    why: str
+    reason: str
 
 
-def removal_order(machine: MachineView) -> tuple[int, int]:
+def release_order(machine: MachineView) -> tuple[int, int]:
     """Newest requested, then newest booting, then longest idle."""
     if machine.phase == "requested":
-        return (0, -machine.since_us)
+        return (0, -machine.phase_since_us)
     if machine.phase == "booting":
-        return (1, -machine.since_us)
+        return (1, -machine.phase_since_us)
     return (2, machine.idle_since_us if machine.idle_since_us is not None else 1 << 62)
--- a/mosswalk/fleet/command_sender.py
+++ b/mosswalk/fleet/command_sender.py
@@ -12,11 +12,11 @@
 
 from mosswalk.actors import Clock
 from mosswalk.fleet.inventory import Inventory, Machine
-from mosswalk.fleet.messages import PushDone
+from mosswalk.fleet.messages import DirectCommandsDone
 from mosswalk.jobs.registry import AttemptKey, JobRegistry
-from mosswalk.jobs.state import split_task_name
+from mosswalk.jobs.state import parse_task_name
 from mosswalk.leadership.actor import Leadership
-from mosswalk.wire.workers import DirectOrders, Order, Report
+from mosswalk.wire.workers import Command, DirectCommands, Report
 
 log = logging.getLogger(__name__)
 
@@ -27,7 +27,7 @@
 
 
 class _Push(Struct):
-    orders: list[Order] = field(default_factory=list)
+    orders: list[Command] = field(default_factory=list)
     in_flight: bool = False
     # Send even if there is nothing to order: the answer tells that the machine hears us.
     probe: bool = False
@@ -44,7 +44,7 @@
         leadership: Leadership,
         session: aiohttp.ClientSession,
         is_to_stop: Callable[[Machine, AttemptKey], bool],
-        tell: Callable[[PushDone], None],
+        tell: Callable[[DirectCommandsDone], None],
         spawn: Callable[[Awaitable[None]], None],
         clock: Clock,
         sockets: int,
@@ -69,19 +69,19 @@
         self._pushes.clear()
         self._kept.clear()
 
-    def forget(self, name: str) -> None:
+    def remove_machine(self, name: str) -> None:
         """A machine is gone."""
         self._pushes.pop(name, None)
         self._kept.discard(name)
 
-    def ended(self, name: str) -> None:
+    def request_ended(self, name: str) -> None:
         """The message under way has ended, answered or not."""
         push = self._pushes.get(name)
         if push is not None:
             push.in_flight = False
             self._schedule(name, push)
 
-    def push(self, machine: Machine, order: Order) -> None:
+    def send(self, machine: Machine, order: Command) -> None:
         """Send an order soon."""
         push = self._pushes.setdefault(machine.name, _Push())
         push.orders.append(order)
@@ -91,7 +91,7 @@
         """Have a machine see our epoch and say how it is, without waiting for its report."""
         push = self._pushes.setdefault(machine.name, _Push())
         push.probe = True
-        machine.probed_us = self._clock.now_us()
+        machine.probed_at_us = self._clock.now_us()
         self._schedule(machine.name, push)
 
     def _may_keep(self, name: str) -> bool:
@@ -130,23 +130,23 @@
             machine is None
             or machine.address is None
             or machine.releasing
-            or not self._leadership.may_answer()
+            or not self._leadership.may_renew_worker_leases()
         ):
             return
-        may_start = self._leadership.may_start()
+        may_start = self._leadership.may_start_tasks()
         attempts = self._registry.attempts_on(name)
-        kept: list[Order] = []
+        kept: list[Command] = []
         for order in orders:
-            split = split_task_name(order.task)
+            split = parse_task_name(order.task)
             key = (*split, order.attempt) if split is not None else None
             # The job may have been withdrawn, or the attempt settled, since it was queued.
             if order.op == "run" and (
                 not may_start
                 # One copy under way is enough: an answer to the second would not tell that the
                 # first can't be carried out any more.
-                or (order.task, order.attempt) in machine.unanswered
+                or (order.task, order.attempt) in machine.unanswered_starts
                 or key not in attempts
-                or attempts[key].tenure != machine.tenure
+                or attempts[key].session != machine.session
                 or self._is_to_stop(machine, key)
             ):
                 continue
@@ -155,15 +155,15 @@
             return
         push.in_flight = True
         starts = tuple((o.task, o.attempt) for o in kept if o.op == "run")
-        epoch = self._leadership.epoch()
+        epoch = self._leadership.term_number()
         for start in starts:
             # Until it is answered it may be carried out at any later time.
-            machine.unanswered[start] = (epoch, machine.tenure)
-        message = DirectOrders(epoch, machine.tenure, tuple(kept))
+            machine.unanswered_starts[start] = (epoch, machine.session)
+        message = DirectCommands(epoch, machine.session, tuple(kept))
         self._spawn(self._post(machine.name, machine.address, message, starts))
 
     async def _post(
-        self, name: str, address: str, message: DirectOrders, starts: tuple[tuple[str, int], ...]
+        self, name: str, address: str, message: DirectCommands, starts: tuple[tuple[str, int], ...]
     ) -> None:
         report: Report | None = None
         sent = True
@@ -186,4 +186,4 @@
             log.debug("orders to %s: no answer: %r", name, error)
         except msgspec.DecodeError as error:
             log.error("worker %s: malformed answer to /orders dropped: %s", name, error)
-        self._tell(PushDone(name, message.epoch, message.tenure, starts, sent, report))
+        self._tell(DirectCommandsDone(name, message.term, message.session, starts, sent, report))
--- a/mosswalk/fleet/moving.py
+++ b/mosswalk/fleet/consolidating.py
@@ -5,9 +5,9 @@
 import logging
 
 from mosswalk.actors import SECOND_US, Clock
-from mosswalk.factory.consolidate import Host, to_empty
+from mosswalk.factory.consolidate import ReplicaHost, choose_machine_to_drain
 from mosswalk.fleet.inventory import Inventory, Machine
-from mosswalk.fleet.offers import Offers
+from mosswalk.fleet.offers import OfferPlanner
 from mosswalk.jobs.registry import AttemptKey, JobRegistry
 from mosswalk.jobs.state import Job
 from mosswalk.store.records import Attempt
@@ -26,7 +26,7 @@
     """Chooses replicas to stop; the team owners place them again like any other."""
 
     def __init__(
-        self, inventory: Inventory, registry: JobRegistry, offers: Offers, clock: Clock
+        self, inventory: Inventory, registry: JobRegistry, offers: OfferPlanner, clock: Clock
     ) -> None:
         self._inventory = inventory
         self._registry = registry
@@ -36,14 +36,16 @@
         self._moved: set[str] = set()
         self._emptying: dict[str, int] = {}
 
-    def emptying(self) -> set[str]:
+    def draining(self) -> set[str]:
         """Machines that are to get nothing new."""
         now_us = self._clock.now_us()
         self._emptying = {m: until for m, until in self._emptying.items() if until > now_us}
         return set(self._emptying)
 
-    def _host(self, machine: Machine, before: dict[AttemptKey, int], now_us: int) -> Host | None:
-        room, shape = self._offers.room(machine), self._inventory.types.get(machine.type)
+    def _host(
+        self, machine: Machine, before: dict[AttemptKey, int], now_us: int
+    ) -> ReplicaHost | None:
+        room, shape = self._offers.free_capacity(machine), self._inventory.types.get(machine.type)
         if room is None or shape is None or not machine.has_replica:
             return None
         replicas: list[tuple[Job, Attempt]] = []
@@ -57,9 +59,9 @@
             since_us = self._seen_us[key] = before.get(key, now_us)
             settled = settled and now_us - since_us >= _SETTLED_US
         price = shape.spot_price if machine.spot else shape.price
-        return Host(room, machine.load(shape), price, replicas, settled)
+        return ReplicaHost(room, machine.utilization(shape), price, replicas, settled)
 
-    def choose(self) -> list[tuple[Job, Attempt]]:
+    def choose_replicas(self) -> list[tuple[Job, Attempt]]:
         """The replicas to stop now."""
         now_us = self._clock.now_us()
         before, self._seen_us = self._seen_us, {}
@@ -76,10 +78,10 @@
         if self._moved:
             # One that was stopped has no place yet: first things first.
             return []
-        host = to_empty(hosts, self._inventory.zone_of())
+        host = choose_machine_to_drain(hosts, self._inventory.zones_by_machine())
         if host is None:
             return []
-        name = host.room.machine
+        name = host.capacity.machine
         if name not in self._emptying:
             log.info("emptying %s: its %d replicas fit elsewhere", name, len(host.replicas))
         self._emptying[name] = now_us + _EMPTYING_US
--- a/mosswalk/fleet/follower_reports.py
+++ b/mosswalk/fleet/follower_reports.py
@@ -13,7 +13,7 @@
 from mosswalk.actors import SECOND_US, Clock, to_us
 from mosswalk.config import WorkerLimits
 from mosswalk.fleet.recent_workers import RecentWorkers
-from mosswalk.fleet.report_evaluation import kills_of_closed
+from mosswalk.fleet.report_evaluation import kill_commands_for_closed_jobs
 from mosswalk.jobs.registry import JobRegistry
 from mosswalk.leadership.actor import Leadership
 from mosswalk.wire.workers import Redirect, Report, ReportAnswer
@@ -37,16 +37,16 @@
         # Workers sent to the leader within a lease: one that comes back was not answered there.
         self._sent_on = RecentWorkers(to_us(limits.lease_s), clock)
         # Whether no leader can be reached from here, nor anybody who could name one.
-        self.left_alone: Callable[[], bool] = lambda: False
+        self.no_leader_reachable: Callable[[], bool] = lambda: False
         # Whether the state service serves nobody who can be reached.
-        self.nobody_served: Callable[[], bool] = lambda: False
+        self.no_peer_reaches_state_service: Callable[[], bool] = lambda: False
         self._keeps = False
 
     def answer(self, report: Report) -> tuple[int, bytes]:
         """The status and the body of the answer to a report."""
         if self._may_keep(report):
-            orders = tuple(kills_of_closed(report, self._registry.jobs))
-            return 200, msgspec.json.encode(ReportAnswer(self._leadership.epoch(), orders))
+            orders = tuple(kill_commands_for_closed_jobs(report, self._registry.jobs))
+            return 200, msgspec.json.encode(ReportAnswer(self._leadership.term_number(), orders))
         self.recent_workers.record(report.machine)
         self._sent_on.record(report.machine)
         return self._refusal()
@@ -64,11 +64,14 @@
         that the workers can't reach is not able to hand over. A worker that has seen a higher
         epoch would drop our answer and stay with us until its lease ends, so it is sent on.
         """
-        may_keep = self.nobody_served() and self._leadership.may_keep()
-        keeps = may_keep and (self.left_alone() or self._sent_on.knows(report.machine))
+        may_keep = (
+            self.no_peer_reaches_state_service()
+            and self._leadership.may_renew_worker_leases_as_follower()
+        )
+        keeps = may_keep and (self.no_leader_reachable() or self._sent_on.contains(report.machine))
         if keeps and not self._keeps:
             log.info("workers are kept alive here")
         elif self._keeps and not may_keep:
             log.info("workers are kept alive no more")
         self._keeps = may_keep and (keeps or self._keeps)
-        return keeps and report.epoch <= self._leadership.epoch()
+        return keeps and report.term <= self._leadership.term_number()
--- a/mosswalk/fleet/inventory.py
+++ b/mosswalk/fleet/inventory.py
@@ -8,9 +8,9 @@
 from msgspec import Struct, field
 
 from mosswalk.actors import SECOND_US
-from mosswalk.jobs.state import milli
+from mosswalk.jobs.state import milli_ceil
 from mosswalk.wire.cloud import MachineType
-from mosswalk.wire.workers import Order, Report, TaskReport
+from mosswalk.wire.workers import Command, Report, TaskReport
 
 TaskKey = tuple[str, int]
 
@@ -28,115 +28,120 @@
     zone: str
     spot: bool
     phase: Literal["requested", "booting", "up"]
-    since_us: int
-    rented_us: int
+    phase_since_us: int
+    rented_at_us: int
     address: str | None = None
     group: int | None = None
     releasing: str | None = None
     # Known only because a record names it: nothing else has been heard of it.
-    rumoured: bool = False
-    seen_us: int = 0
-    tenure: int = 0
-    tick: int = -1
-    epoch: int = 0
+    known_from_record_only: bool = False
+    last_seen_at_us: int = 0
+    session: int = 0
+    sequence: int = -1
+    term: int = 0
     # Whether it has reported under an epoch of ours. An earlier report may be a late copy, even
     # of a machine long gone, and tells nothing of what is there now.
-    hears: bool = False
+    has_acknowledged_leader: bool = False
     # What our last answer to a report told it, and when: its next report shows whether it heard.
-    told_epoch: int = 0
-    told_orders: tuple[Order, ...] = ()
-    told_us: int = 0
-    deaf_since_us: int | None = None
+    last_answer_term: int = 0
+    last_answer_commands: tuple[Command, ...] = ()
+    last_answer_at_us: int = 0
+    not_receiving_since_us: int | None = None
     # Only an answer to /orders shows that it hears.
-    must_prove: bool = False
-    probed_us: int | None = None
-    notice_until_us: int | None = None
+    needs_direct_answer: bool = False
+    probed_at_us: int | None = None
+    spot_notice_until_us: int | None = None
     # What its newest report lists, as it came and by attempt.
-    reported: tuple[TaskReport, ...] = ()
+    reported_tasks: tuple[TaskReport, ...] = ()
     tasks: dict[TaskKey, TaskReport] = field(default_factory=dict)
     # Those of them that have exited: room is worked out far more often than they change.
-    exited: frozenset[TaskKey] = frozenset()
-    images: OrderedDict[str, float] = field(default_factory=OrderedDict)
-    errors: int = 0
-    distrusted: bool = False
+    exited_tasks: frozenset[TaskKey] = frozenset()
+    cached_images: OrderedDict[str, float] = field(default_factory=OrderedDict)
+    consecutive_errors: int = 0
+    unhealthy: bool = False
     idle_since_us: int | None = None
     # What the attempts placed on it take, in thousandths, and whether a replica is among them.
     used_cpus: int = 0
     used_memory: int = 0
     has_replica: bool = False
     # Starts sent to /orders whose answer never came, with the epoch and tenure they carried.
-    unanswered: dict[TaskKey, tuple[int, int]] = field(default_factory=dict)
+    unanswered_starts: dict[TaskKey, tuple[int, int]] = field(default_factory=dict)
 
-    def load(self, shape: MachineType) -> float:
+    def utilization(self, shape: MachineType) -> float:
         """The used part of its scarcer amount."""
         return max(
-            self.used_cpus / max(1, milli(shape.cpus)),
-            self.used_memory / max(1, milli(shape.memory_gb)),
+            self.used_cpus / max(1, milli_ceil(shape.cpus)),
+            self.used_memory / max(1, milli_ceil(shape.memory_gb)),
         )
 
-    def newer(self, report: Report) -> bool:
+    def is_new_report(self, report: Report) -> bool:
         """Whether a report is newer than all seen before."""
-        return (report.tenure, report.tick) > (self.tenure, self.tick)
+        return (report.session, report.sequence) > (self.session, self.sequence)
 
-    def note_tasks(self, reported: tuple[TaskReport, ...]) -> bool:
+    def update_tasks(self, reported: tuple[TaskReport, ...]) -> bool:
         """Take over what a report lists; whether that is anything new."""
-        if reported == self.reported:
+        if reported == self.reported_tasks:
             return False
-        self.reported = reported
+        self.reported_tasks = reported
         tasks = {(task.task, task.attempt): task for task in reported}
         if tasks == self.tasks:
             return False
         self.tasks = tasks
-        self.exited = frozenset(key for key, task in tasks.items() if task.phase == "exited")
+        self.exited_tasks = frozenset(key for key, task in tasks.items() if task.phase == "exited")
         return True
 
-    def told(self, epoch: int, orders: tuple[Order, ...], now_us: int) -> None:
+    def record_answer(self, epoch: int, orders: tuple[Command, ...], now_us: int) -> None:
         """Our answer to a report is on its way."""
-        self.told_epoch, self.told_orders, self.told_us = epoch, orders, now_us
+        self.last_answer_term, self.last_answer_commands, self.last_answer_at_us = (
+            epoch,
+            orders,
+            now_us,
+        )
 
-    def note_hearing(self, report: Report, now_us: int, lease_us: int) -> None:
+    def check_answer_received(self, report: Report, now_us: int, lease_us: int) -> None:
         """See by its next report whether our last answer reached it.
 
         Reports of a machine that nothing reaches are no sign of health. A worker has one report
         under way at a time, so it has carried out the answer to the one before, or lost it.
         """
-        again = report.tenure > self.tenure
+        again = report.session > self.session
         if (
             again
-            and self.hears
-            and self.tenure > 0
-            and self.told_us > 0
-            and now_us - self.told_us < lease_us * 6 // 10
+            and self.has_acknowledged_leader
+            and self.session > 0
+            and self.last_answer_at_us > 0
+            and now_us - self.last_answer_at_us < lease_us * 6 // 10
         ):
             # Its lease ran out although we answered in time. It may have been restarted, too.
-            self.must_prove = True
-        heard = report.epoch >= self.told_epoch and (
-            again or all(carried_out(order, report) for order in self.told_orders)
+            self.needs_direct_answer = True
+        heard = report.term >= self.last_answer_term and (
+            again
+            or all(report_shows_execution(order, report) for order in self.last_answer_commands)
         )
-        if heard and not self.must_prove:
-            self.deaf_since_us = None
-        elif self.deaf_since_us is None:
-            self.deaf_since_us = now_us
+        if heard and not self.needs_direct_answer:
+            self.not_receiving_since_us = None
+        elif self.not_receiving_since_us is None:
+            self.not_receiving_since_us = now_us
 
-    def answered_orders(self) -> None:
+    def record_direct_answer(self) -> None:
         """It has answered /orders, so it hears."""
-        self.must_prove = False
-        self.deaf_since_us = None
+        self.needs_direct_answer = False
+        self.not_receiving_since_us = None
 
-    def used_image(self, image: str, image_gb: float, cache_gb: float) -> None:
+    def record_image_use(self, image: str, image_gb: float, cache_gb: float) -> None:
         """An image was fetched or used: remember it as the worker's cache would."""
-        self.images[image] = image_gb
-        self.images.move_to_end(image)
-        while len(self.images) > 1 and sum(self.images.values()) > cache_gb:
-            self.images.popitem(last=False)
+        self.cached_images[image] = image_gb
+        self.cached_images.move_to_end(image)
+        while len(self.cached_images) > 1 and sum(self.cached_images.values()) > cache_gb:
+            self.cached_images.popitem(last=False)
 
-    def may_run_late(self, key: TaskKey, epoch: int) -> bool:
+    def may_still_start(self, key: TaskKey, epoch: int) -> bool:
         """Whether an unanswered start could still be carried out."""
-        sent = self.unanswered.get(key)
-        return sent is not None and sent[0] >= max(epoch, self.epoch) and sent[1] == self.tenure
+        sent = self.unanswered_starts.get(key)
+        return sent is not None and sent[0] >= max(epoch, self.term) and sent[1] == self.session
 
 
-def carried_out(order: Order, report: Report) -> bool:
+def report_shows_execution(order: Command, report: Report) -> bool:
     """Whether a report shows that an order has been carried out."""
     found = next(
         (t for t in report.tasks if t.task == order.task and t.attempt == order.attempt), None
@@ -157,7 +162,7 @@
         # With when the cloud confirmed it, the oldest first.
         self._gone: OrderedDict[str, int] = OrderedDict()
 
-    def gone(self, name: str) -> bool:
+    def is_gone(self, name: str) -> bool:
         """Whether the cloud has confirmed that the machine is gone."""
         return name in self._gone
 
@@ -183,18 +188,18 @@
     ) -> Machine:
         """Add a machine that this leader has not rented."""
         machine = Machine(name, kind, zone, spot, phase, now_us, now_us)
-        machine.seen_us = now_us
+        machine.last_seen_at_us = now_us
         self.machines[name] = machine
         return machine
 
-    def note_rumour(self, name: str, now_us: int) -> None:
+    def add_from_record(self, name: str, now_us: int) -> None:
         """A record names a machine that nothing else has told of."""
-        if not self.gone(name) and name not in self.machines:
-            self.adopt(name, "", "", False, "up", now_us).rumoured = True
+        if not self.is_gone(name) and name not in self.machines:
+            self.adopt(name, "", "", False, "up", now_us).known_from_record_only = True
 
-    def zone_of(self) -> dict[str, str]:
+    def zones_by_machine(self) -> dict[str, str]:
         """The zones of all machines that are more than a rumour."""
-        return {m.name: m.zone for m in self.machines.values() if not m.rumoured}
+        return {m.name: m.zone for m in self.machines.values() if not m.known_from_record_only}
 
     def reset(self) -> None:
         """Forget machines: another controller led meanwhile."""
--- a/mosswalk/fleet/machine_list.py
+++ b/mosswalk/fleet/machine_list.py
@@ -9,9 +9,9 @@
 from typing import Literal, Protocol
 
 from mosswalk.actors import Clock, to_us
-from mosswalk.cloud.actor import Listed
+from mosswalk.cloud.actor import ListResult
 from mosswalk.fleet.inventory import Inventory, Machine
-from mosswalk.fleet.offers import Offers
+from mosswalk.fleet.offers import OfferPlanner
 from mosswalk.wire.cloud import ListedMachine
 
 log = logging.getLogger(__name__)
@@ -28,17 +28,17 @@
     """Adopts machines that are listed and not known, and returns those that have failed."""
 
     def __init__(
-        self, inventory: Inventory, offers: Offers, releaser: MachineReleaser, clock: Clock
+        self, inventory: Inventory, offers: OfferPlanner, releaser: MachineReleaser, clock: Clock
     ) -> None:
         self._inventory = inventory
         self._offers = offers
         self._releaser = releaser
         self._clock = clock
 
-    def take(self, message: Listed) -> None:
+    def process(self, message: ListResult) -> None:
         """Take a list."""
         for row in message.machines:
-            if self._inventory.gone(row.name):
+            if self._inventory.is_gone(row.name):
                 continue
             if row.phase == "failed":
                 self._take_failed(row)
@@ -57,17 +57,17 @@
             # One that runs may have had its say to the leader before us; it is not late in
             # coming up, and if it is dead its silence will show.
             machine = self._adopt(row, "up" if row.phase == "running" else "booting")
-            machine.rented_us = self._clock.now_us() - to_us(row.held_s)
+            machine.rented_at_us = self._clock.now_us() - to_us(row.rented_for_s)
             log.info(
                 "machine %s (%s, %s) listed, not known: taken over", row.name, row.type, row.zone
             )
-        elif machine.rumoured:
-            machine.rumoured = False
+        elif machine.known_from_record_only:
+            machine.known_from_record_only = False
             machine.type, machine.zone, machine.spot = row.type, row.zone, row.spot
-            self._offers.touch(row.name)
+            self._offers.mark_changed(row.name)
         if machine.phase == "requested":
             machine.phase = "booting"
-            machine.since_us = self._clock.now_us()
+            machine.phase_since_us = self._clock.now_us()
         if machine.address is None:
             machine.address = row.address
 
--- a/mosswalk/fleet/manager.py
+++ b/mosswalk/fleet/manager.py
@@ -15,35 +15,41 @@
 import msgspec
 
 from mosswalk.actors import SECOND_US, Actor, Clock, to_s, to_us
-from mosswalk.cloud.actor import CloudCaller, Listed, Released, Rented, Typed
+from mosswalk.cloud.actor import (
+    CloudCaller,
+    ListResult,
+    MachineTypesResult,
+    ReleaseResult,
+    RentResult,
+)
 from mosswalk.config import Settings
-from mosswalk.config.sockets import sockets
-from mosswalk.factory.view import GiveBack, WaitingTasks
+from mosswalk.config.sockets import socket_budget
+from mosswalk.factory.view import Release, WaitingTasks
 from mosswalk.fleet.command_sender import CommandSender
+from mosswalk.fleet.consolidating import Consolidator
 from mosswalk.fleet.follower_reports import FollowerReports
 from mosswalk.fleet.inventory import Inventory, Machine
 from mosswalk.fleet.machine_list import MachineListIntake
 from mosswalk.fleet.messages import (
+    DirectCommandsDone,
     Message,
     OfferDone,
     Plan,
-    PushDone,
-    TermBegan,
+    TermChanged,
     Tick,
 )
-from mosswalk.fleet.moving import Consolidator
-from mosswalk.fleet.offers import Offers
+from mosswalk.fleet.offers import OfferPlanner
 from mosswalk.fleet.outcome_sender import OutcomeLink, OutcomeSender
-from mosswalk.fleet.overdue_machines import TAKEOVER_US, OverdueMachines
+from mosswalk.fleet.overdue_machines import WORKER_RECONNECT_US, OverdueMachines
 from mosswalk.fleet.preempting import Preemptor
-from mosswalk.fleet.recent_workers import cut_from_workers
+from mosswalk.fleet.recent_workers import leader_unreachable_for_workers
+from mosswalk.fleet.record_maintenance import RecordMaintenance
 from mosswalk.fleet.renting import FleetScaler
 from mosswalk.fleet.report_intake import ReportIntake
 from mosswalk.fleet.stale_starts import StaleStarts
 from mosswalk.fleet.stopping import StopRegistry
 from mosswalk.fleet.stray_machines import StrayMachines
 from mosswalk.fleet.task_failures import TaskFailures
-from mosswalk.fleet.upkeep import Upkeep
 from mosswalk.fleet.withdrawing import WithdrawnTasks
 from mosswalk.jobs.registry import JobRegistry
 from mosswalk.jobs.state import Job, task_name
@@ -52,9 +58,9 @@
 from mosswalk.store import records
 from mosswalk.store.mirror import Mirror
 from mosswalk.store.writer import GroupWriter
-from mosswalk.wire.cloud import MAX_LIST, MachineType
+from mosswalk.wire.cloud import MAX_MACHINES_PER_PAGE, MachineType
 from mosswalk.wire.peers import Offer, OfferAnswer, Outcome
-from mosswalk.wire.workers import Order, Report, ReportAnswer
+from mosswalk.wire.workers import Command, Report, ReportAnswer
 
 log = logging.getLogger(__name__)
 
@@ -117,7 +123,7 @@
         self.inventory = Inventory()
         self._failures = TaskFailures(settings.tuning.fleet.errors_to_distrust)
         self._scaler = FleetScaler(settings, self.inventory, registry, clock)
-        self._offers = Offers(
+        self._offers = OfferPlanner(
             settings,
             mirror,
             registry,
@@ -125,20 +131,20 @@
             leadership,
             self._scaler,
             clock,
-            self._failures.machines_by_job,
+            self._failures.failed_machines_by_job,
         )
         self._preemptor = Preemptor(settings, self.inventory, registry, self._offers, clock)
         self._consolidator = Consolidator(self.inventory, registry, self._offers, clock)
         self.cloud: CloudCaller | None = None
         self._leading = False
-        self._since_us = 0
+        self._leading_since_us = 0
         # Since when reports have been taken without a break: silence counts from then on only.
-        self._listening_us = 0
+        self._answering_since_us = 0
         self._ticked_us = 0
-        self._listed = False
+        self._list_received = False
         # Whether the cloud has told us of machine types and their prices since we began to lead.
         self._priced = False
-        self._first = False
+        self._is_first_leader = False
         self._asked_list_us = 0
         self._asked_types_us = 0
         self._factory_us = 0
@@ -147,14 +153,14 @@
         self._orphans_us = 0
         self._plan_scheduled = False
         self._plan_rest_us = 0
-        self._upkeep = Upkeep(settings, mirror, registry, writer, leadership)
+        self._upkeep = RecordMaintenance(settings, mirror, registry, writer, leadership)
         self._outcome_sender = OutcomeSender(registry, leadership, owner, peers, self.spawn, clock)
         self._stops = StopRegistry(
             settings,
             self.inventory,
             registry,
-            lambda machine, order: self._command_sender.push(machine, order),
-            self._offers.quiet,
+            lambda machine, order: self._command_sender.send(machine, order),
+            self._offers.is_silent,
             clock,
         )
         self._command_sender = CommandSender(
@@ -163,12 +169,12 @@
             leadership,
             session,
             lambda machine, key: self._stops.grace_s(machine, key) is not None,
-            self.tell,
+            self.send,
             self.spawn,
             clock,
-            sockets(settings.params.machine_limits.max_connections).workers,
+            socket_budget(settings.params.machine_limits.max_connections).workers,
         )
-        self._intake = ReportIntake(
+        self._report_intake = ReportIntake(
             workers,
             self.inventory,
             registry,
@@ -197,18 +203,18 @@
         self.follower_reports = FollowerReports(workers, registry, leadership, clock)
         # Within this time a machine that is well reports, give or take what reports vary by.
         self._report_us = to_us(1.3 * workers.report_s)
-        registry.on_attempt.append(self._attempt_appeared)
+        registry.on_attempt_added.append(self._on_attempt_recorded)
         registry.on_withdrawn.append(self._withdrawn)
         registry.on_gang_ending.append(self._gang_ending)
-        mirror.after_batch(self.fleet_changed)
-        leadership.on_term.append(lambda: self.tell(TermBegan()))
+        mirror.on_batch_applied(self.fleet_changed)
+        leadership.on_term.append(lambda: self.send(TermChanged()))
 
     # Messages.
 
     async def receive(self, message: Message) -> None:
         """Handle one message."""
         match message:
-            case PushDone():
+            case DirectCommandsDone():
                 self._push_done(message)
             case OfferDone():
                 self._offer_done(message)
@@ -220,17 +226,17 @@
                 self._check_lead()
                 if self._leading:
                     self._tick()
-            case TermBegan():
+            case TermChanged():
                 self._check_lead()
-            case Listed() if self._leading:
-                self._listed = True
-                self._machine_list.take(message)
-            case Released() if self._leading:
+            case ListResult() if self._leading:
+                self._list_received = True
+                self._machine_list.process(message)
+            case ReleaseResult() if self._leading:
                 self._released(message.machines)
-            case Rented() if self._leading:
-                self._scaler.rented(message)
-            case Typed() if self._leading:
-                self._typed(message.types)
+            case RentResult() if self._leading:
+                self._scaler.on_rented(message)
+            case MachineTypesResult() if self._leading:
+                self._on_types(message.types)
             case _:
                 pass
 
@@ -238,20 +244,20 @@
         """Tick for ever."""
         while True:
             await asyncio.sleep(to_s(_TICK_US))
-            self.tell(Tick())
+            self.send(Tick())
 
-    def report(self, report: Report) -> tuple[int, bytes]:
+    def answer_report(self, report: Report) -> tuple[int, bytes]:
         """Answer a report: the status and the body.
 
         Not by the mailbox: no handler awaits, so none is half done when a report comes, and a
         report need not wait behind all that others have told.
         """
         self._check_lead()
-        self._leadership.outbid(report.epoch)
-        if not self._leading or not self._leadership.may_answer():
+        self._leadership.observe_term(report.term)
+        if not self._leading or not self._leadership.may_renew_worker_leases():
             return self.follower_reports.answer(report)
-        orders = self._intake.take(report, in_answer=True)
-        answer = ReportAnswer(self._leadership.epoch(), tuple(orders))
+        orders = self._report_intake.process(report, is_periodic=True)
+        answer = ReportAnswer(self._leadership.term_number(), tuple(orders))
         return 200, msgspec.json.encode(answer)
 
     def fleet_changed(self) -> None:
@@ -259,22 +265,24 @@
         if self._leading and not self._plan_scheduled:
             self._plan_scheduled = True
             gap_us = max(_PLAN_GAP_US, self._plan_rest_us)
-            asyncio.get_running_loop().call_later(to_s(gap_us), self.tell, Plan())
+            asyncio.get_running_loop().call_later(to_s(gap_us), self.send, Plan())
 
     def _check_lead(self) -> None:
         leads = self._leadership.leads()
         if leads and not self._leading:
-            log.info("leading in term %d", self._leadership.epoch())
+            log.info("leading in term %d", self._leadership.term_number())
             self._leading = True
-            self._since_us = self._ticked_us = self._listening_us = self._clock.now_us()
-            self._intake.begin(self._leadership.epoch())
+            self._leading_since_us = self._ticked_us = self._answering_since_us = (
+                self._clock.now_us()
+            )
+            self._report_intake.start_leading(self._leadership.term_number())
             # Nobody led before us, so nobody rented anything: no need to wait for the list.
-            self._first = self._leadership.epoch() <= 1
-            self._listed = self._priced = False
-            self._know_types()
+            self._is_first_leader = self._leadership.term_number() <= 1
+            self._list_received = self._priced = False
+            self._load_recorded_types()
             self._asked_list_us = self._asked_types_us = -_TYPES_US
-            for machine in list(self._registry.by_machine):
-                self.inventory.note_rumour(machine, self._clock.now_us())
+            for machine in list(self._registry.attempts_by_machine):
+                self.inventory.add_from_record(machine, self._clock.now_us())
             self._stops.reset()
             self._orphans_us = -_ORPHANS_US
             self._tick()
@@ -290,22 +298,22 @@
             self._stale_starts.reset()
             self._overdue_machines.reset()
             if self.cloud is not None:
-                self.cloud.forget()
+                self.cloud.clear_pending_releases()
 
     # Reports and orders.
 
-    def cut_from_workers(self, elsewhere: int) -> bool:
+    def is_unreachable_for_workers(self, elsewhere: int) -> bool:
         """Whether the workers can't reach this leader, but turn to others."""
         now_us = self._clock.now_us()
-        if not self._leading or now_us - self._listening_us < TAKEOVER_US:
+        if not self._leading or now_us - self._answering_since_us < WORKER_RECONNECT_US:
             return False
         up = [m for m in self.inventory.machines.values() if m.phase == "up" and not m.releasing]
-        heard = sum(1 for m in up if now_us - m.seen_us < self._report_us)
-        return cut_from_workers(len(up), heard, elsewhere)
+        heard = sum(1 for m in up if now_us - m.last_seen_at_us < self._report_us)
+        return leader_unreachable_for_workers(len(up), heard, elsewhere)
 
     def machine_up(self, machine: Machine) -> None:
         """Use a machine that has come up, and give back what its rent's copies hold."""
-        took_us = self._clock.now_us() - machine.rented_us
+        took_us = self._clock.now_us() - machine.rented_at_us
         log.info(
             "machine %s (%s, %s) is up after %.1f s",
             machine.name,
@@ -313,45 +321,45 @@
             machine.zone,
             took_us / SECOND_US,
         )
-        for back in self._scaler.came_up(machine, self._calls_left()):
+        for back in self._scaler.on_machine_up(machine, self._calls_left()):
             self._give_back(back)
 
     def _calls_left(self) -> int:
-        return self.cloud.calls_left() if self.cloud is not None else 0
+        return self.cloud.available_calls() if self.cloud is not None else 0
 
-    def _attempt_appeared(self, name: str, job: Job, attempt: records.Attempt) -> None:
+    def _on_attempt_recorded(self, name: str, job: Job, attempt: records.Attempt) -> None:
         """A placing is committed: start it without waiting for the machine's next report."""
-        if not self._leading or not self._leadership.may_start() or not job.startable:
+        if not self._leading or not self._leadership.may_start_tasks() or not job.startable:
             return
         machine = self.inventory.machines.get(name)
-        if machine is None or machine.tenure != attempt.tenure or machine.releasing:
+        if machine is None or machine.session != attempt.session or machine.releasing:
             return
-        self._command_sender.push(
-            machine, Order("run", task_name(job.id, attempt.task), attempt.number)
+        self._command_sender.send(
+            machine, Command("run", task_name(job.id, attempt.task), attempt.number)
         )
 
     def _withdrawn(self, job: Job) -> None:
         if self._leading:
-            self._stops.end_withdrawn(job)
+            self._stops.kill_withdrawn(job)
 
     def _gang_ending(self, job: Job) -> None:
         if self._leading:
-            self._stops.end_gang(job)
+            self._stops.kill_gang(job)
 
-    def _push_done(self, message: PushDone) -> None:
-        self._command_sender.ended(message.machine)
+    def _push_done(self, message: DirectCommandsDone) -> None:
+        self._command_sender.request_ended(message.machine)
         machine = self.inventory.machines.get(message.machine)
         if machine is None:
             return
         if not message.sent or message.report is not None:
             for start in message.starts:
-                if machine.unanswered.get(start) == (message.epoch, message.tenure):
-                    del machine.unanswered[start]
+                if machine.unanswered_starts.get(start) == (message.term, message.session):
+                    del machine.unanswered_starts[start]
         if message.report is not None:
-            self._leadership.outbid(message.report.epoch)
+            self._leadership.observe_term(message.report.term)
             self._check_lead()
             if self._leading:
-                self._intake.take(message.report, in_answer=False)
+                self._report_intake.process(message.report, is_periodic=False)
 
     # Room and offers.
 
@@ -359,25 +367,25 @@
         begun_us = self._clock.now_us()
         for node, offer in self._offers.plan():
             self.spawn(self._send_offer(node, offer))
-        if self._scaler.gangs_stuck() and begun_us - self._preempt_us > _GANG_PREEMPT_US:
+        if self._scaler.has_blocked_gangs() and begun_us - self._preempt_us > _GANG_PREEMPT_US:
             # They are to begin within seconds: not left for the next tick.
             self._preempt_us = begun_us
-            self._preempt(self._scaler.waiting())
+            self._preempt(self._scaler.waiting_tasks())
         self._plan_rest_us = _PLAN_REST * (self._clock.now_us() - begun_us)
 
     async def _send_offer(self, node: str, offer: Offer) -> None:
         answer: OfferAnswer | None = None
         try:
             if node == self._leadership.node:
-                answer = await self._owner.offer(offer)
+                answer = await self._owner.receive_offer(offer)
             else:
                 answer = await self._peers.offer(node, offer)
         except Exception as error:
             log.debug("offer to %s: %s", node, error)
-        self.tell(OfferDone(node, answer))
+        self.send(OfferDone(node, answer))
 
     def _offer_done(self, message: OfferDone) -> None:
-        self._offers.answered(message.node, message.answer)
+        self._offers.on_answer(message.node, message.answer)
         self.fleet_changed()
 
     # Periodic work.
@@ -388,41 +396,41 @@
             # We were stopped ourselves, so others' silence tells nothing yet. Seen in a recorded
             # day: a leader woke after 20 s and released every machine, deposed as it was.
             log.info("was stopped for %.1f s", (now_us - self._ticked_us) / SECOND_US)
-            self._since_us = self._listening_us = now_us
-            self._intake.resume()
+            self._leading_since_us = self._answering_since_us = now_us
+            self._report_intake.restart_after_pause()
         self._ticked_us = now_us
-        answers = self._leadership.may_answer()
+        answers = self._leadership.may_renew_worker_leases()
         if not answers:
             # We turn reports away ourselves. Seen on a recorded day: when the state service came
             # back after 52 s, every machine was released as silent in that second.
-            self._listening_us = now_us
+            self._answering_since_us = now_us
         if self.cloud is None or not answers:
             return
         types_us = _TYPES_US if self._priced else 2 * SECOND_US
         if now_us - self._asked_types_us > types_us:
             self._asked_types_us = now_us
-            self.spawn(self.cloud.refresh_types())
+            self.spawn(self.cloud.refresh_machine_types())
         if now_us - self._asked_list_us > self._list_period_us():
             self._asked_list_us = now_us
-            self.spawn(self.cloud.refresh_list())
-        for name in list(self._registry.by_machine):
+            self.spawn(self.cloud.refresh_machine_list())
+        for name in list(self._registry.attempts_by_machine):
             if name not in self.inventory.machines:
-                self.inventory.note_rumour(name, now_us)
-        self._offers.refresh()
-        self._stray_machines.probe(self._since_us)
-        for machine, why in self._withdrawn_tasks.overdue(self._listening_us):
-            self.release(machine, why, served=False)
+                self.inventory.add_from_record(name, now_us)
+        self._offers.mark_periodic_changes()
+        self._stray_machines.probe(self._leading_since_us)
+        for machine, why in self._withdrawn_tasks.overdue(self._answering_since_us):
+            self.release(machine, why, requires_state_service=False)
         self._release_overdue()
         self._outcome_sender.send_due()
         self._stale_starts.check()
-        self._stops.forget_settled()
+        self._stops.discard_terminated()
         self._save_gangs()
-        self._failures.forget_all_but(self._registry.jobs)
+        self._failures.retain_jobs(self._registry.jobs)
         if now_us - self._orphans_us > _ORPHANS_US:
             self._orphans_us = now_us
-            self.spawn(self._upkeep.clear_orphans())
+            self.spawn(self._upkeep.remove_orphaned_chunks())
         # Worked out once for all who ask: it walks all that waits, by each team's limit.
-        waiting = self._scaler.waiting()
+        waiting = self._scaler.waiting_tasks()
         if now_us - self._preempt_us > _PREEMPT_US:
             self._preempt_us = now_us
             self._preempt(waiting)
@@ -435,79 +443,82 @@
         self.fleet_changed()
 
     def _list_period_us(self) -> int:
-        pages = 1 + len(self.inventory.machines) // MAX_LIST
+        pages = 1 + len(self.inventory.machines) // MAX_MACHINES_PER_PAGE
         rps = self._settings.params.cloud.rps
         return max(_LIST_US, to_us(pages / (_LIST_PART * rps)))
 
     def _ready_to_rent(self) -> bool:
         """Whether the inventory is complete: else machines not known here are rented again."""
-        if not self._listed or not self._priced or not self._leadership.may_start():
+        if not self._list_received or not self._priced or not self._leadership.may_start_tasks():
             return False
-        if self._first:
+        if self._is_first_leader:
             return True
-        return self._clock.now_us() - self._since_us > max(4 * SECOND_US, self._list_lag_us)
+        return self._clock.now_us() - self._leading_since_us > max(4 * SECOND_US, self._list_lag_us)
 
     def _release_overdue(self) -> None:
         """Release machines that say nothing, but not while workers look for their new leader."""
         now_us = self._clock.now_us()
-        if now_us - self._listening_us < TAKEOVER_US or not self._leadership.may_start():
+        if (
+            now_us - self._answering_since_us < WORKER_RECONNECT_US
+            or not self._leadership.may_start_tasks()
+        ):
             return
-        for machine, why in self._overdue_machines.overdue(self._listening_us):
+        for machine, why in self._overdue_machines.overdue(self._answering_since_us):
             self.release(machine, why)
 
     # The cloud.
 
-    def release(self, machine: Machine, why: str, *, served: bool = True) -> None:
+    def release(self, machine: Machine, why: str, *, requires_state_service: bool = True) -> None:
         """Return a machine; where not ``served``, though the state service is not heard."""
         if machine.releasing is None:
             log.info("releasing %s (%s, %s): %s", machine.name, machine.type, machine.zone, why)
             machine.releasing = why
-            self._offers.touch(machine.name)
-        elif served:
+            self._offers.mark_changed(machine.name)
+        elif requires_state_service:
             return
         if self.cloud is not None:
-            self.cloud.release([machine.name], served=served)
+            self.cloud.release([machine.name], needs_state_service=requires_state_service)
 
-    def _give_back(self, back: GiveBack) -> None:
+    def _give_back(self, back: Release) -> None:
         machine = self.inventory.machines.get(back.machine)
         if machine is None:
             return
-        if self._registry.attempts_on(machine.name) or self._offers.reserved(machine.name):
+        if self._registry.attempts_on(machine.name) or self._offers.is_reserved(machine.name):
             return
-        self.release(machine, back.why)
+        self.release(machine, back.reason)
 
     def _released(self, names: Iterable[str]) -> None:
         for name in names:
             for key in self._registry.attempts_on(name):
-                self._outcome_sender.proven(
+                self._outcome_sender.add_confirmed(
                     Outcome(task_name(key[0], key[1]), key[2], name, "lost")
                 )
             self.inventory.remove(name, self._clock.now_us())
-            self._offers.touch(name)
-            self._command_sender.forget(name)
+            self._offers.mark_changed(name)
+            self._command_sender.remove_machine(name)
         self._outcome_sender.send_new()
         self.fleet_changed()
 
-    def _know_types(self) -> None:
+    def _load_recorded_types(self) -> None:
         """Take machine types from the records until the cloud tells them, with prices.
 
         It may be down when the leader is replaced, and what is free can be used all the same.
         """
-        value = self._mirror.value(records.TYPES_KEY)
+        value = self._mirror.value(records.MACHINE_TYPES_KEY)
         if value is not None and not self.inventory.types:
-            self.inventory.types = {t.name: t for t in records.decode_types(value)}
+            self.inventory.types = {t.name: t for t in records.decode_machine_types(value)}
 
-    def _typed(self, types: tuple[MachineType, ...]) -> None:
+    def _on_types(self, types: tuple[MachineType, ...]) -> None:
         self._priced = True
         self.inventory.types = {t.name: t for t in types}
         for name in self.inventory.machines:
-            self._offers.touch(name)
-        if not self._upkeep.types_written(types):
+            self._offers.mark_changed(name)
+        if not self._upkeep.machine_types_recorded(types):
             self.spawn(self._write_types(types))
         self.fleet_changed()
 
     async def _write_types(self, types: tuple[MachineType, ...]) -> None:
-        if not await self._upkeep.write_types(types):
+        if not await self._upkeep.write_machine_types(types):
             # Until they are there, every submission is turned down.
             self._asked_types_us = -_TYPES_US
 
@@ -515,14 +526,14 @@
 
     def _preempt(self, waiting: list[WaitingTasks]) -> None:
         """Stop less urgent attempts for tasks that found no room."""
-        if not self._leadership.may_start():
+        if not self._leadership.may_start_tasks():
             return
         now_us = self._clock.now_us()
-        for victim in self._preemptor.victims(waiting, self._stops):
+        for victim in self._preemptor.select_victims(waiting, self._stops):
             spec, attempt = victim.job.spec, victim.attempt
-            grace_s = self._preemptor.grace_s(victim)
+            grace_s = self._preemptor.checkpoint_grace_s(victim)
             claim_us = now_us + _CLAIM_US + to_us(grace_s)
-            self._offers.claim(attempt.machine, claim_us, victim.wanted_by)
+            self._offers.claim(attempt.machine, claim_us, victim.preempting_job)
             log.info(
                 "stopping %s/%d attempt %d on %s for more urgent work",
                 spec.id,
@@ -536,7 +547,7 @@
         """Move replicas together, while nothing waits for room."""
         if waiting:
             return
-        for job, attempt in self._consolidator.choose():
+        for job, attempt in self._consolidator.choose_replicas():
             log.info(
                 "moving %s/%d attempt %d off %s",
                 job.id,
@@ -548,7 +559,7 @@
 
     def _save_gangs(self) -> None:
         """Stop gangs that would lose a machine to its notice, as long as all of them can save."""
-        for job in list(self._stops.gangs_to_save()):
+        for job in list(self._stops.gangs_to_checkpoint()):
             log.info(
                 "stopping %s, all %d tasks: a machine of it is to be taken", job.id, job.spec.tasks
             )
@@ -556,7 +567,7 @@
 
     def _run_factory(self, waiting: list[WaitingTasks]) -> None:
         wanted, returned = self._scaler.decide(
-            waiting, self._offers.room, self._calls_left(), self._consolidator.emptying()
+            waiting, self._offers.free_capacity, self._calls_left(), self._consolidator.draining()
         )
         for back in returned:
             self._give_back(back)
--- a/mosswalk/fleet/messages.py
+++ b/mosswalk/fleet/messages.py
@@ -4,17 +4,17 @@
 
 from msgspec import Struct
 
-from mosswalk.cloud.actor import CloudNews
+from mosswalk.cloud.actor import CloudResult
 from mosswalk.wire.peers import OfferAnswer
 from mosswalk.wire.workers import Report
 
 
-class PushDone(Struct):
+class DirectCommandsDone(Struct):
     """What became of orders sent to a worker's own address."""
 
     machine: str
-    epoch: int
-    tenure: int
+    term: int
+    session: int
     starts: tuple[tuple[str, int], ...]
     sent: bool
     report: Report | None
@@ -35,8 +35,8 @@
     """Time for what happens on its own."""
 
 
-class TermBegan(Struct):
+class TermChanged(Struct):
     """The term record has changed."""
 
 
-Message = PushDone | OfferDone | Plan | Tick | TermBegan | CloudNews
+Message = DirectCommandsDone | OfferDone | Plan | Tick | TermChanged | CloudResult
--- a/mosswalk/fleet/offers.py
+++ b/mosswalk/fleet/offers.py
@@ -11,18 +11,18 @@
 from mosswalk.config import Settings
 from mosswalk.fleet.inventory import Inventory, Machine
 from mosswalk.fleet.renting import FleetScaler
-from mosswalk.jobs.admission import fits_type
+from mosswalk.jobs.admission import fits_machine_type
 from mosswalk.jobs.registry import AttemptKey, JobRegistry
-from mosswalk.jobs.state import Job, Usage, milli_room, task_name
+from mosswalk.jobs.state import Job, Usage, milli_floor, task_name
 from mosswalk.leadership.actor import Leadership
-from mosswalk.placement.capacity import Room, room_to_keep
+from mosswalk.placement.capacity import FreeCapacity, capacity_to_claim
 from mosswalk.placement.queues import (
+    QueueOrder,
     TeamQueue,
-    Urgency,
-    serve_in_turn,
+    place_across_teams,
 )
 from mosswalk.store.mirror import Mirror
-from mosswalk.wire.peers import Offer, OfferAnswer, SlotOffer, TeamOffer
+from mosswalk.wire.peers import MachineOffer, Offer, OfferAnswer, TeamOffer
 
 log = logging.getLogger(__name__)
 
@@ -37,13 +37,13 @@
 
     node: str
     teams: tuple[str, ...]
-    slots: list[SlotOffer]
+    slots: list[MachineOffer]
     until_us: int
     # Set once the owner has answered: the room is free again when the mirror has got there.
     revision: int | None = None
 
 
-class Offers:
+class OfferPlanner:
     """What is free where, what of it is offered, and to whom."""
 
     def __init__(
@@ -64,7 +64,7 @@
         self._scaler = renting
         self._clock = clock
         self._failed_on = failed_on
-        self._urgency = Urgency(settings.params.objectives, settings.params.teams)
+        self._urgency = QueueOrder(settings.params.objectives, settings.params.teams)
         self._teams = {team.name: team for team in settings.params.teams}
         self._shares = {
             name: settings.tuning.shares.get(name) or max(1.0, team.cpus)
@@ -78,11 +78,11 @@
         self._claims: dict[str, tuple[int, frozenset[str]]] = {}
         # Room by machine, built anew only for machines of which something has changed: a plan
         # costs by what changed, not by how many machines there are.
-        self._rooms: dict[str, Room | None] = {}
+        self._rooms: dict[str, FreeCapacity | None] = {}
         self._changed: set[str] = set()
         self._cordoned: set[str] = set()
-        self._reserved: dict[str, list[SlotOffer]] = {}
-        registry.on_machine.append(self.touch)
+        self._reserved: dict[str, list[MachineOffer]] = {}
+        registry.on_machine_changed.append(self.mark_changed)
 
     def reset(self) -> None:
         """Forget all: another controller leads."""
@@ -91,28 +91,28 @@
         self._rooms.clear()
         self._changed.clear()
 
-    def touch(self, name: str) -> None:
+    def mark_changed(self, name: str) -> None:
         """Something about a machine has changed."""
         self._changed.add(name)
 
-    def refresh(self) -> None:
+    def mark_periodic_changes(self) -> None:
         """See to what changes by time alone, or for all machines at once."""
         now_us = self._clock.now_us()
         for name in [n for n, (until_us, _) in self._claims.items() if until_us < now_us]:
             del self._claims[name]
-            self.touch(name)
+            self.mark_changed(name)
         self._changed |= self._cordoned ^ self._scaler.cordoned
         self._cordoned = self._scaler.cordoned
         for name, machine in self._inventory.machines.items():
             room = self._rooms.get(name)
-            if name not in self._rooms or (room is not None and self.quiet(machine)):
-                self.touch(name)
+            if name not in self._rooms or (room is not None and self.is_silent(machine)):
+                self.mark_changed(name)
 
-    def quiet(self, machine: Machine) -> bool:
+    def is_silent(self, machine: Machine) -> bool:
         """Whether a machine has not been heard of for too long to place anything on it."""
-        return self._clock.now_us() - machine.seen_us > self._silent_us
+        return self._clock.now_us() - machine.last_seen_at_us > self._silent_us
 
-    def rooms(self) -> list[Room]:
+    def free_capacities(self) -> list[FreeCapacity]:
         """What is free on every machine that may be used. To be copied before it is changed."""
         changed, self._changed = self._changed, set()
         for name in sorted(changed):
@@ -123,7 +123,7 @@
                 self._rooms[name] = self._build(machine)
         return [room for room in self._rooms.values() if room is not None]
 
-    def room(self, machine: Machine) -> Room | None:
+    def free_capacity(self, machine: Machine) -> FreeCapacity | None:
         """What is free on a machine; None if nothing may be placed there."""
         if machine.name in self._changed or machine.name not in self._rooms:
             self._changed.discard(machine.name)
@@ -133,13 +133,13 @@
     def claim(self, machine: str, until_us: int, job_id: str) -> None:
         """Keep room that is being freed on a machine for the job it is freed for."""
         self._claims[machine] = (until_us, self._claimants(machine) | {job_id})
-        self.touch(machine)
+        self.mark_changed(machine)
 
-    def reserved(self, name: str) -> bool:
+    def is_reserved(self, name: str) -> bool:
         """Whether room on a machine is offered just now."""
         return name in self._reserved
 
-    def answered(self, node: str, answer: OfferAnswer | None) -> None:
+    def on_answer(self, node: str, answer: OfferAnswer | None) -> None:
         """An owner has answered, or has not."""
         now_us = self._clock.now_us()
         for reservation in self._reservations:
@@ -152,17 +152,17 @@
                     for team in reservation.teams:
                         self._cool[team] = now_us + _COOL_US
 
-    def taking(self, machine: Machine) -> Iterator[AttemptKey]:
+    def attempts_using_capacity(self, machine: Machine) -> Iterator[AttemptKey]:
         """The attempts that may take room: all but those whose exit the worker has reported.
 
         The records show an exit later, as writes are scarce; its room need not wait for that.
         """
         attempts = self._registry.attempts_on(machine.name)
-        if not machine.exited:
+        if not machine.exited_tasks:
             yield from attempts
             return
         for key in attempts:
-            if (task_name(key[0], key[1]), key[2]) not in machine.exited:
+            if (task_name(key[0], key[1]), key[2]) not in machine.exited_tasks:
                 yield key
 
     def _note_use(self, machine: Machine, running: list[Job]) -> None:
@@ -170,47 +170,47 @@
         machine.used_memory = sum(job.memory for job in running)
         machine.has_replica = any(job.spec.kind == "daemon" for job in running)
         attempts = self._registry.attempts_on(machine.name)
-        idle = not attempts and len(machine.exited) == len(machine.tasks)
+        idle = not attempts and len(machine.exited_tasks) == len(machine.tasks)
         if machine.phase != "up" or not idle:
             machine.idle_since_us = None
         elif machine.idle_since_us is None:
             machine.idle_since_us = self._clock.now_us()
 
-    def _build(self, machine: Machine) -> Room | None:
+    def _build(self, machine: Machine) -> FreeCapacity | None:
         jobs = self._registry.jobs
-        running = [jobs[key[0]] for key in self.taking(machine) if key[0] in jobs]
+        running = [jobs[key[0]] for key in self.attempts_using_capacity(machine) if key[0] in jobs]
         self._note_use(machine, running)
         shape = self._inventory.types.get(machine.type)
         if (
             shape is None
             or machine.phase != "up"
-            or machine.rumoured
-            or not machine.hears
-            or machine.deaf_since_us is not None
+            or machine.known_from_record_only
+            or not machine.has_acknowledged_leader
+            or machine.not_receiving_since_us is not None
             or machine.releasing is not None
-            or machine.distrusted
-            or machine.notice_until_us is not None
-            or self.quiet(machine)
+            or machine.unhealthy
+            or machine.spot_notice_until_us is not None
+            or self.is_silent(machine)
         ):
             return None
         price = shape.spot_price if machine.spot else shape.price
-        room = Room(
+        room = FreeCapacity(
             machine=machine.name,
             type=machine.type,
             zone=machine.zone,
             spot=machine.spot,
-            tenure=machine.tenure,
-            cpus=milli_room(shape.cpus),
-            gpus=milli_room(shape.gpus),
-            memory=milli_room(shape.memory_gb),
-            images=frozenset(machine.images),
+            session=machine.session,
+            cpus=milli_floor(shape.cpus),
+            gpus=milli_floor(shape.gpus),
+            memory=milli_floor(shape.memory_gb),
+            images=frozenset(machine.cached_images),
             core_price=price / max(1.0, shape.cpus),
             fetch_s_per_gb=1.0 / max(0.001, shape.fetch_gb_per_s),
             cordoned=machine.name in self._scaler.cordoned,
             claimed_by=self._claimants(machine.name),
         )
         for job in running:
-            room.take(job)
+            room.allocate(job)
         for slot in self._reserved.get(machine.name, ()):
             room.cpus -= slot.cpus
             room.gpus -= slot.gpus
@@ -221,14 +221,16 @@
         until_us, jobs = self._claims.get(name, (0, frozenset()))
         return jobs if self._clock.now_us() < until_us else frozenset()
 
-    def _keep_room(self, queues: Iterable[TeamQueue], rooms: list[Room]) -> None:
+    def _keep_room(self, queues: Iterable[TeamQueue], rooms: list[FreeCapacity]) -> None:
         until_us = self._clock.now_us() + _KEPT_US
         for queue in queues:
-            for job in queue.stuck:
+            for job in queue.unschedulable:
                 if not queue.is_overdue(job) or any(job.id in c[1] for c in self._claims.values()):
                     continue
-                shapes = {n for n, t in self._inventory.types.items() if fits_type(job.spec, t)}
-                kept = room_to_keep(job, rooms, shapes)
+                shapes = {
+                    n for n, t in self._inventory.types.items() if fits_machine_type(job.spec, t)
+                }
+                kept = capacity_to_claim(job, rooms, shapes)
                 if kept is not None:
                     log.info("keeping room on %s for %s, overdue", kept.machine, job.id)
                     self.claim(kept.machine, until_us, job.id)
@@ -251,25 +253,25 @@
 
     def _note_reserved(self) -> None:
         for name in self._reserved:
-            self.touch(name)
+            self.mark_changed(name)
         self._reserved = {}
         for reservation in self._reservations:
             for slot in reservation.slots:
                 self._reserved.setdefault(slot.machine, []).append(slot)
         for name in self._reserved:
-            self.touch(name)
+            self.mark_changed(name)
 
     @staticmethod
-    def _add_slot(slots: dict[tuple[str, str], SlotOffer], job: Job, room: Room) -> None:
+    def _add_slot(slots: dict[tuple[str, str], MachineOffer], job: Job, room: FreeCapacity) -> None:
         """Offer a task's part of a room to its team."""
         key = (job.spec.team, room.machine)
         before = slots.get(key)
-        slots[key] = SlotOffer(
+        slots[key] = MachineOffer(
             room.machine,
             room.type,
             room.zone,
             room.spot,
-            room.tenure,
+            room.session,
             job.cpus + (before.cpus if before else 0),
             job.gpus + (before.gpus if before else 0),
             job.memory + (before.memory if before else 0),
@@ -281,7 +283,7 @@
     def plan(self) -> list[tuple[str, Offer]]:
         """Offer free room to the teams in turn: a message for each owner that gets some."""
         term = self._leadership.term
-        if term is None or not self._leadership.may_start():
+        if term is None or not self._leadership.may_start_tasks():
             return []
         now_us = self._clock.now_us()
         self._drop_reservations()
@@ -289,11 +291,11 @@
         unplaced = self._registry.unplaced
         if not any(unplaced.values()):
             # In calm times most plans find nothing to place: no need to look at the machines.
-            self._scaler.nothing_stuck()
+            self._scaler.clear_blocked_jobs()
             return []
-        rooms = self.rooms()
+        rooms = self.free_capacities()
         usage = self._registry.usage()
-        zones = self._inventory.zone_of()
+        zones = self._inventory.zones_by_machine()
         queues = [
             TeamQueue(
                 team,
@@ -308,13 +310,13 @@
             for name, team in self._teams.items()
             if term.owners.get(name) not in busy and self._cool.get(name, 0) <= now_us
         ]
-        slots: dict[tuple[str, str], SlotOffer] = {}
-        for placing in serve_in_turn(queues, rooms, self._shares):
-            for _, room in placing.places():
+        slots: dict[tuple[str, str], MachineOffer] = {}
+        for placing in place_across_teams(queues, rooms, self._shares):
+            for _, room in placing.task_capacities():
                 self._add_slot(slots, placing.job, room)
-        self._scaler.note_stuck(queues)
+        self._scaler.record_blocked_jobs(queues)
         self._keep_room(queues, rooms)
-        by_node: dict[str, dict[str, list[SlotOffer]]] = {}
+        by_node: dict[str, dict[str, list[MachineOffer]]] = {}
         for (team, _), slot in slots.items():
             node = term.owners.get(team)
             if node is not None:
@@ -326,7 +328,7 @@
                 for team in teams
                 for job in unplaced[team].values()
                 if job.spec.spread or job.spec.one_zone
-                for attempt in job.live()
+                for attempt in job.live_attempts()
             }
             offer = Offer(
                 term.term,
--- a/mosswalk/fleet/outcome_sender.py
+++ b/mosswalk/fleet/outcome_sender.py
@@ -10,7 +10,7 @@
 
 from mosswalk.actors import Clock
 from mosswalk.jobs.registry import JobRegistry
-from mosswalk.jobs.state import Job, split_task_name
+from mosswalk.jobs.state import Job, parse_task_name
 from mosswalk.leadership.actor import Leadership
 from mosswalk.placement.owner import Owner
 from mosswalk.wire.peers import Outcome, Outcomes
@@ -65,7 +65,7 @@
         self._told.clear()
         self._unsent.clear()
 
-    def reported(self, outcome: Outcome) -> None:
+    def add_reported(self, outcome: Outcome) -> None:
         """A worker has reported it; one told already is sent again in its time only."""
         key = (outcome.task, outcome.attempt)
         told = self._told.get(key)
@@ -74,7 +74,7 @@
         else:
             told.outcome = outcome
 
-    def proven(self, outcome: Outcome) -> None:
+    def add_confirmed(self, outcome: Outcome) -> None:
         """The cloud has confirmed it: whatever was told before, this is sent at once."""
         self._add((outcome.task, outcome.attempt), outcome)
 
@@ -104,7 +104,7 @@
 
     def _job_of(self, outcome: Outcome) -> Job | None:
         """The job whose records still show the attempt as live, or None."""
-        split = split_task_name(outcome.task)
+        split = parse_task_name(outcome.task)
         if split is None:
             return None
         if (*split, outcome.attempt) not in self._registry.attempts_on(outcome.machine):
@@ -130,7 +130,7 @@
         for node, outcomes in by_node.items():
             message = Outcomes(term.term, tuple(outcomes))
             if node == self._leadership.node:
-                self._owner.outcomes(message)
+                self._owner.receive_outcomes(message)
             else:
                 self._spawn(self._send(node, message))
 
--- a/mosswalk/fleet/overdue_machines.py
+++ b/mosswalk/fleet/overdue_machines.py
@@ -7,11 +7,16 @@
 from mosswalk.actors import SECOND_US, Clock, to_us
 from mosswalk.config import Settings
 from mosswalk.fleet.inventory import Inventory, Machine
-from mosswalk.fleet.silence import SilenceLimits, quiet_zones, reclaimed, to_release
+from mosswalk.fleet.silence import (
+    SilenceLimits,
+    is_reclaimed,
+    machines_to_release,
+    zones_with_many_late,
+)
 from mosswalk.leadership.actor import Leadership
 
 # How long workers may take to find their way to a new leader, or back after a cut.
-TAKEOVER_US = 8 * SECOND_US
+WORKER_RECONNECT_US = 8 * SECOND_US
 
 
 class OverdueMachines:
@@ -26,7 +31,7 @@
             to_us(2.2 * workers.report_s),
             to_us(fleet.silent_reports * workers.report_s),
             lease_us,
-            lease_us + leadership.bound_us,
+            lease_us + leadership.max_unconfirmed_us,
         )
         self._boot_patience = fleet.boot_patience
         self._inventory = inventory
@@ -49,13 +54,16 @@
         now_us = self._clock.now_us()
         # One that does not carry out what it is told is as bad as one that says nothing.
         silences = {
-            m.name: now_us - max(since_us, min(m.seen_us, m.deaf_since_us or m.seen_us))
+            m.name: now_us
+            - max(since_us, min(m.last_seen_at_us, m.not_receiving_since_us or m.last_seen_at_us))
             for m in self._inventory.machines.values()
             if m.phase == "up" and not m.releasing
         }
         for name in list(silences):
             machine = self._inventory.machines[name]
-            if reclaimed(silences[name], machine.notice_until_us, now_us, self.silence_limits):
+            if is_reclaimed(
+                silences[name], machine.spot_notice_until_us, now_us, self.silence_limits
+            ):
                 yield machine, "its notice is over"
                 # Its silence says nothing of a cut.
                 del silences[name]
@@ -64,25 +72,29 @@
             shape = self._inventory.types.get(machine.type)
             if machine.phase == "up" or machine.releasing or shape is None:
                 continue
-            if now_us - machine.since_us < TAKEOVER_US:
+            if now_us - machine.phase_since_us < WORKER_RECONNECT_US:
                 continue
-            if now_us - machine.rented_us > self._boot_patience * to_us(shape.boot_s):
+            if now_us - machine.rented_at_us > self._boot_patience * to_us(shape.boot_s):
                 yield machine, "never came up"
 
     def _silent(self, silences: dict[str, int]) -> Iterator[tuple[Machine, str]]:
         zone_of = {name: self._inventory.machines[name].zone for name in silences}
         # When a cut heals, most are heard again before the last one: seen on a standard day, a
         # third of a zone was released in that second, as if each of them had fallen silent alone.
-        quiet = self._lately(self._quiet_us, quiet_zones(silences, self.silence_limits, zone_of))
-        unseen = set(self._controllers.values()) - self._leadership.present_in(self._controllers)
+        quiet = self._lately(
+            self._quiet_us, zones_with_many_late(silences, self.silence_limits, zone_of)
+        )
+        unseen = set(self._controllers.values()) - self._leadership.zones_with_controller(
+            self._controllers
+        )
         cut_off = self._lately(self._unseen_us, unseen)
-        for name in to_release(silences, self.silence_limits, zone_of, quiet, cut_off):
+        for name in machines_to_release(silences, self.silence_limits, zone_of, quiet, cut_off):
             machine = self._inventory.machines[name]
-            what = "silent" if machine.deaf_since_us is None else "does not hear"
+            what = "silent" if machine.not_receiving_since_us is None else "does not hear"
             yield machine, f"{what} for {silences[name] / SECOND_US:.1f} s"
 
     def _lately(self, seen_us: dict[str, int], zones: Iterable[str]) -> set[str]:
         """Zones of which something is so, or was until workers can have found their way back."""
         now_us = self._clock.now_us()
         seen_us.update(dict.fromkeys(zones, now_us))
-        return {zone for zone, at_us in seen_us.items() if now_us - at_us < TAKEOVER_US}
+        return {zone for zone, at_us in seen_us.items() if now_us - at_us < WORKER_RECONNECT_US}
--- a/mosswalk/fleet/recent_workers.py
+++ b/mosswalk/fleet/recent_workers.py
@@ -31,7 +31,7 @@
         self._seen_us.move_to_end(machine)
         self._drop_old()
 
-    def knows(self, machine: str) -> bool:
+    def contains(self, machine: str) -> bool:
         """Whether a machine's worker came within the while."""
         self._drop_old()
         return machine in self._seen_us
@@ -47,7 +47,7 @@
             self._seen_us.popitem(last=False)
 
 
-def cut_from_workers(up: int, heard: int, elsewhere: int) -> bool:
+def leader_unreachable_for_workers(up: int, heard: int, elsewhere: int) -> bool:
     """Whether the workers try to reach other controllers since they can't reach the leader.
 
     When they are silent everywhere, it is they who are cut off or dead, and a new leader would
--- a/mosswalk/fleet/upkeep.py
+++ b/mosswalk/fleet/record_maintenance.py
@@ -23,7 +23,7 @@
     return records.encode([structs.replace(t, price=0.0, spot_price=0.0) for t in types])
 
 
-class Upkeep:
+class RecordMaintenance:
     """Every write is guarded by the term, and by what it is about."""
 
     def __init__(
@@ -40,28 +40,28 @@
         self._writer = writer
         self._leadership = leadership
 
-    def types_written(self, types: tuple[MachineType, ...]) -> bool:
+    def machine_types_recorded(self, types: tuple[MachineType, ...]) -> bool:
         """Whether these are the types that others judge submissions by."""
-        return self._mirror.value(records.TYPES_KEY) == _without_prices(types)
+        return self._mirror.value(records.MACHINE_TYPES_KEY) == _without_prices(types)
 
-    async def write_types(self, types: tuple[MachineType, ...]) -> bool:
+    async def write_machine_types(self, types: tuple[MachineType, ...]) -> bool:
         """Write what others judge submissions by; whether that worked."""
         guards = {
-            records.TYPES_KEY: self._mirror.version(records.TYPES_KEY),
+            records.MACHINE_TYPES_KEY: self._mirror.version(records.MACHINE_TYPES_KEY),
             records.TERM_KEY: self._leadership.term_version,
         }
         try:
             await self._writer.commit(
-                Change(guards, {records.TYPES_KEY: Raw(_without_prices(types))})
+                Change(guards, {records.MACHINE_TYPES_KEY: Raw(_without_prices(types))})
             )
         except (ConflictError, RefusedError, UnknownOutcomeError) as error:
             log.info("machine types not written: %s", error)
             return False
         return True
 
-    async def clear_orphans(self) -> None:
+    async def remove_orphaned_chunks(self) -> None:
         """Remove chunks of jobs that are over; their removal is not part of the job's end."""
-        orphans = self._registry.orphans()
+        orphans = self._registry.orphaned_chunks()
         for start in range(0, len(orphans), self._ops):
             some = orphans[start : start + self._ops]
             # When all keys are read anew, a new job's chunks may be seen before its header: only
--- a/mosswalk/fleet/renting.py
+++ b/mosswalk/fleet/renting.py
@@ -7,17 +7,17 @@
 from collections.abc import Callable, Iterable
 
 from mosswalk.actors import SECOND_US, Clock, to_us
-from mosswalk.cloud.actor import Rented
+from mosswalk.cloud.actor import RentResult
 from mosswalk.config import Settings
-from mosswalk.factory.cordon import Occupancy, to_cordon
+from mosswalk.factory.cordon import Occupancy, choose_machines_to_cordon
 from mosswalk.factory.loop import Factory
-from mosswalk.factory.view import GiveBack, MachineView, Pool, Rent, View, WaitingTasks
+from mosswalk.factory.view import FleetView, MachineView, Pool, Release, Rent, WaitingTasks
 from mosswalk.fleet.inventory import Inventory, Machine
-from mosswalk.jobs.admission import fits_type
+from mosswalk.jobs.admission import fits_machine_type
 from mosswalk.jobs.registry import JobRegistry
-from mosswalk.jobs.state import IDLE_RANK, Job, Usage, milli_room
-from mosswalk.placement.capacity import Room, zone_rule
-from mosswalk.placement.queues import TeamQueue, fits_quota, most_within
+from mosswalk.jobs.state import IDLE_RANK, Job, Usage, milli_floor
+from mosswalk.placement.capacity import FreeCapacity, zone_rule
+from mosswalk.placement.queues import TeamQueue, fits_quota, max_tasks_within_limit
 
 log = logging.getLogger(__name__)
 
@@ -52,34 +52,34 @@
         # cloud would be asked for the same again each period.
         self._asked: Counter[Pool] = Counter()
 
-    def note_stuck(self, queues: Iterable[TeamQueue]) -> None:
+    def record_blocked_jobs(self, queues: Iterable[TeamQueue]) -> None:
         """Jobs whose next task found no room.
 
         Teams whose owner is busy keep what was found last time: a gap would restart the
         factory's dwell and every job's silence_limits.
         """
         now_us = self._clock.now_us()
-        self._stuck.update({queue.team.name: queue.stuck for queue in queues})
+        self._stuck.update({queue.team.name: queue.unschedulable for queue in queues})
         self._stuck_since = {
             job.id: self._stuck_since.get(job.id, now_us)
             for stuck in self._stuck.values()
             for job in stuck
         }
 
-    def gangs_stuck(self) -> bool:
+    def has_blocked_gangs(self) -> bool:
         """Whether gangs that others may be stopped for found no room."""
         return any(
             job.is_gang and job.rank < IDLE_RANK for jobs in self._stuck.values() for job in jobs
         )
 
-    def nothing_stuck(self) -> None:
+    def clear_blocked_jobs(self) -> None:
         """All that may be placed has been."""
         self._stuck.clear()
         self._stuck_since.clear()
 
-    def waiting(self) -> list[WaitingTasks]:
+    def waiting_tasks(self) -> list[WaitingTasks]:
         """Tasks that found no room, as far as their team's limit lets them run."""
-        zones = self._inventory.zone_of()
+        zones = self._inventory.zones_by_machine()
         usage = self._registry.usage()
         waiting: list[WaitingTasks] = []
         for stuck in [job for jobs in self._stuck.values() for job in jobs]:
@@ -91,9 +91,9 @@
             if team is None or rule is None or not job.open:
                 continue
             own = usage.setdefault(team.name, Usage())
-            guaranteed = fits_quota(team, own, job, limit=False)
+            guaranteed = fits_quota(team, own, job, against_limit=False)
             patient = self._patient(job, guaranteed)
-            count = most_within(team, own, job, job.pending_count())
+            count = max_tasks_within_limit(team, own, job, job.pending_count())
             own.add(job, count)
             if not count:
                 continue
@@ -116,12 +116,12 @@
             there = Counter(
                 m.zone
                 for m in self._inventory.machines.values()
-                if not m.releasing and not m.rumoured
+                if not m.releasing and not m.known_from_record_only
             )
             fitting = {
                 zone
                 for shape in self._inventory.types.values()
-                if fits_type(job.spec, shape)
+                if fits_machine_type(job.spec, shape)
                 for zone in shape.zones
                 if job.spec.zone in (None, zone)
             }
@@ -145,23 +145,23 @@
             return False
         # Estimates are often short by half.
         needed_us = to_us(1.5 * job.spec.estimate_s + boot_s)
-        return job.due_us() - self._clock.wall_us() > needed_us
+        return job.deadline_at_us() - self._clock.wall_us() > needed_us
 
-    def _view(self, waiting: list[WaitingTasks], calls: int) -> View:
+    def _view(self, waiting: list[WaitingTasks], calls: int) -> FleetView:
         machines: list[MachineView] = []
         for machine in self._inventory.machines.values():
-            if machine.releasing or machine.rumoured:
+            if machine.releasing or machine.known_from_record_only:
                 continue
             shape = self._inventory.types.get(machine.type)
-            load = machine.load(shape) if shape is not None else 0.0
+            load = machine.utilization(shape) if shape is not None else 0.0
             machines.append(
                 MachineView(
                     machine.name,
                     (machine.type, machine.zone, machine.spot),
                     machine.phase,
-                    machine.since_us,
-                    machine.rented_us,
-                    machine.notice_until_us is None,
+                    machine.phase_since_us,
+                    machine.rented_at_us,
+                    machine.spot_notice_until_us is None,
                     machine.idle_since_us,
                     load,
                     machine.name in self.cordoned,
@@ -174,9 +174,9 @@
                 machines.append(
                     MachineView(name, pool, "requested", now_us, now_us, True, None, 0.0)
                 )
-        return View(now_us, self._inventory.types, machines, waiting, calls)
+        return FleetView(now_us, self._inventory.types, machines, waiting, calls)
 
-    def _occupancy(self, room_of: Callable[[Machine], Room | None]) -> list[Occupancy]:
+    def _occupancy(self, room_of: Callable[[Machine], FreeCapacity | None]) -> list[Occupancy]:
         found: list[Occupancy] = []
         for machine in self._inventory.machines.values():
             room, shape = room_of(machine), self._inventory.types.get(machine.type)
@@ -185,9 +185,9 @@
             found.append(
                 Occupancy(
                     machine.name,
-                    milli_room(shape.cpus) - room.cpus,
+                    milli_floor(shape.cpus) - room.cpus,
                     max(0, room.cpus),
-                    milli_room(shape.memory_gb) - room.memory,
+                    milli_floor(shape.memory_gb) - room.memory,
                     max(0, room.memory),
                     shape.spot_price if machine.spot else shape.price,
                     not machine.has_replica,
@@ -195,26 +195,28 @@
             )
         return found
 
-    def came_up(self, machine: Machine, calls: int) -> list[GiveBack]:
+    def on_machine_up(self, machine: Machine, calls: int) -> list[Release]:
         """A machine reports for the first time; what its rent's other copies give back."""
         now_us = self._clock.now_us()
-        took_us = now_us - machine.rented_us
+        took_us = now_us - machine.rented_at_us
         machine.phase = "up"
-        machine.since_us = machine.idle_since_us = now_us
+        machine.phase_since_us = machine.idle_since_us = now_us
         if machine.group is None:
             return []
         pool = (machine.type, machine.zone, machine.spot)
-        self._factory.pools.booted(pool, took_us)
+        self._factory.pools.on_machine_booted(pool, took_us)
         group, machine.group = machine.group, None
-        return self._factory.group_booted(group, pool, lambda: self._view(self.waiting(), calls))
+        return self._factory.on_copy_booted(
+            group, pool, lambda: self._view(self.waiting_tasks(), calls)
+        )
 
-    def rented(self, message: Rented) -> None:
+    def on_rented(self, message: RentResult) -> None:
         """The cloud has answered a rental."""
         now_us = self._clock.now_us()
         pool = message.pool
         self._asked -= Counter({pool: len(message.groups)})
         if message.machines:
-            self._factory.pools.granted(pool, now_us)
+            self._factory.pools.on_rental_granted(pool, now_us)
         if len(message.machines) < len(message.groups):
             log.info(
                 "pool %s: %d of %d to be had",
@@ -222,12 +224,12 @@
                 len(message.machines),
                 len(message.groups),
             )
-            self._factory.pools.refused(pool, now_us)
+            self._factory.pools.on_rental_refused(pool, now_us)
         for group in message.groups[len(message.machines) :]:
-            self._factory.group_short(group, pool)
+            self._factory.on_copy_refused(group, pool)
         for name, group in zip(message.machines, message.groups, strict=False):
             log.info("rented %s in %s (group %d)", name, "/".join(map(str, pool)), group)
-            if name not in self._inventory.machines and not self._inventory.gone(name):
+            if name not in self._inventory.machines and not self._inventory.is_gone(name):
                 machine = Machine(name, *pool, "requested", now_us, now_us)
                 machine.group = group
                 self._inventory.machines[name] = machine
@@ -235,19 +237,19 @@
     def decide(
         self,
         waiting: list[WaitingTasks],
-        room_of: Callable[[Machine], Room | None],
+        room_of: Callable[[Machine], FreeCapacity | None],
         calls: int,
         emptying: set[str],
-    ) -> tuple[dict[Pool, tuple[int, ...]], list[GiveBack]]:
+    ) -> tuple[dict[Pool, tuple[int, ...]], list[Release]]:
         """One turn of the loops: rents by pool, and machines to return."""
         now_us = self._clock.now_us()
         if now_us - self._cordoned_us >= _CORDON_US:
             # It walks and sorts all machines, and what it finds changes slowly.
             self._cordoned_us = now_us
-            self._to_cordon = to_cordon(self._occupancy(room_of))
+            self._to_cordon = choose_machines_to_cordon(self._occupancy(room_of))
         self.cordoned = self._to_cordon | emptying
         wanted: dict[Pool, tuple[int, ...]] = {}
-        returned: list[GiveBack] = []
+        returned: list[Release] = []
         for decision in self._factory.decide(self._view(waiting, calls)):
             if isinstance(decision, Rent):
                 pools = ", ".join("/".join(map(str, p)) for p in decision.pools)
--- a/mosswalk/fleet/report_evaluation.py
+++ b/mosswalk/fleet/report_evaluation.py
@@ -8,10 +8,10 @@
 
 from mosswalk.fleet.inventory import Machine
 from mosswalk.jobs.registry import AttemptKey
-from mosswalk.jobs.state import Job, split_task_name, task_name
+from mosswalk.jobs.state import Job, parse_task_name, task_name
 from mosswalk.store.records import Attempt
 from mosswalk.wire.peers import Outcome, OutcomeKind
-from mosswalk.wire.workers import Order, Report
+from mosswalk.wire.workers import Command, Report
 
 _FATES: dict[str, OutcomeKind] = {
     "done": "done",
@@ -29,22 +29,22 @@
 class Evaluation(Struct):
     """Orders for the worker, and outcomes for the records."""
 
-    orders: list[Order] = field(default_factory=list)
+    commands: list[Command] = field(default_factory=list)
     outcomes: list[Outcome] = field(default_factory=list)
-    alive: int = 0
+    live_tasks: int = 0
 
 
-def kills_of_closed(report: Report, jobs: Mapping[str, Job]) -> list[Order]:
+def kill_commands_for_closed_jobs(report: Report, jobs: Mapping[str, Job]) -> list[Command]:
     """Orders to end all tasks of a report whose job is not known to be open.
 
     All that may be ordered by one that does not lead: ending such a task is right whoever leads.
     """
-    kills: list[Order] = []
+    kills: list[Command] = []
     for task in report.tasks:
-        split = split_task_name(task.task)
+        split = parse_task_name(task.task)
         job = jobs.get(split[0]) if split is not None else None
         if task.phase != "exited" and (job is None or not job.open):
-            kills.append(Order("kill", task.task, task.attempt, 0.0))
+            kills.append(Command("kill", task.task, task.attempt, 0.0))
     return kills
 
 
@@ -52,12 +52,12 @@
     machine: Machine,
     report: Report,
     attempts: Mapping[AttemptKey, Attempt],
-    epoch: int,
-    stop_grace: Callable[[str, int, int], float | None],
-    startable: Callable[[str], bool],
+    term: int,
+    stop_grace_s: Callable[[str, int, int], float | None],
+    is_startable: Callable[[str], bool],
     *,
     may_start: bool,
-    in_answer: bool,
+    is_periodic: bool,
 ) -> Evaluation:
     """Compare a report with the records.
 
@@ -70,7 +70,7 @@
     result = Evaluation()
     listed: set[AttemptKey] = set()
     for task in report.tasks:
-        split = split_task_name(task.task)
+        split = parse_task_name(task.task)
         if split is None:
             continue
         key = (*split, task.attempt)
@@ -80,37 +80,37 @@
             if attempt is not None:
                 kind = _FATES.get(task.cause or "", "refused")
                 result.outcomes.append(Outcome(task.task, task.attempt, machine.name, kind))
-            elif not machine.may_run_late((task.task, task.attempt), epoch):
+            elif not machine.may_still_start((task.task, task.attempt), term):
                 # Reaped only once the record shows the outcome, and only if no start of ours
                 # is still on the way: the worker would know nothing and run it once more.
-                result.orders.append(Order("reap", task.task, task.attempt))
+                result.commands.append(Command("reap", task.task, task.attempt))
             continue
-        result.alive += 1
+        result.live_tasks += 1
         if attempt is None:
             # No record of it: nothing may count on it, and another attempt may be placed.
-            result.orders.append(Order("kill", task.task, task.attempt, 0.0))
+            result.commands.append(Command("kill", task.task, task.attempt, 0.0))
             continue
-        grace = stop_grace(*key)
+        grace = stop_grace_s(*key)
         if grace is None:
             continue
         if task.phase == "saving" and grace > 0:
             continue
-        result.orders.append(Order("kill", task.task, task.attempt, grace))
+        result.commands.append(Command("kill", task.task, task.attempt, grace))
     for key, attempt in attempts.items():
         if key in listed:
             continue
         name = task_name(key[0], key[1])
-        if attempt.tenure < report.tenure:
+        if attempt.session < report.session:
             # The session it was started in is over, and everything in it was killed.
             result.outcomes.append(Outcome(name, key[2], machine.name, "lost"))
-        elif attempt.tenure == report.tenure:
-            if stop_grace(*key) is None:
-                if may_start and startable(key[0]):
-                    result.orders.append(Order("run", name, key[2]))
+        elif attempt.session == report.session:
+            if stop_grace_s(*key) is None:
+                if may_start and is_startable(key[0]):
+                    result.commands.append(Command("run", name, key[2]))
             elif (
-                in_answer
-                and report.epoch >= epoch
-                and not machine.may_run_late((name, key[2]), epoch)
+                is_periodic
+                and report.term >= term
+                and not machine.may_still_start((name, key[2]), term)
             ):
                 # Not there, no order of an earlier epoch can start it any more, ours came in
                 # answers that were carried out or dropped before this report was made.
--- a/mosswalk/fleet/report_intake.py
+++ b/mosswalk/fleet/report_intake.py
@@ -13,15 +13,15 @@
 from mosswalk.config import WorkerLimits
 from mosswalk.fleet.command_sender import CommandSender
 from mosswalk.fleet.inventory import Inventory, Machine
-from mosswalk.fleet.offers import Offers
+from mosswalk.fleet.offers import OfferPlanner
 from mosswalk.fleet.outcome_sender import OutcomeSender
 from mosswalk.fleet.report_evaluation import evaluate_report
 from mosswalk.fleet.stopping import StopRegistry
 from mosswalk.fleet.task_failures import TaskFailures
 from mosswalk.jobs.registry import JobRegistry
-from mosswalk.jobs.state import split_task_name
+from mosswalk.jobs.state import parse_task_name
 from mosswalk.leadership.actor import Leadership
-from mosswalk.wire.workers import Order, Report
+from mosswalk.wire.workers import Command, Report
 
 log = logging.getLogger(__name__)
 
@@ -42,12 +42,12 @@
         """Return a machine."""
 
 
-def next_report_shows(registry: JobRegistry, order: Order) -> bool:
+def next_report_confirms(registry: JobRegistry, order: Command) -> bool:
     """Whether a machine's next report tells if it has carried out an order.
 
     A gang's task that is being stopped may be reported as running until all of them exit.
     """
-    split = split_task_name(order.task)
+    split = parse_task_name(order.task)
     job = registry.jobs.get(split[0]) if split is not None else None
     return order.op != "kill" or job is None or not job.is_gang
 
@@ -61,7 +61,7 @@
         inventory: Inventory,
         registry: JobRegistry,
         leadership: Leadership,
-        offers: Offers,
+        offers: OfferPlanner,
         outcome_sender: OutcomeSender,
         command_sender: CommandSender,
         stops: StopRegistry,
@@ -81,27 +81,27 @@
         self._listener = listener
         self._clock = clock
         # The epoch with which we began to lead: machines that have seen it hear us.
-        self._first_epoch = 0
+        self._first_term = 0
         # Since when workers have been finding their way to us.
         self._since_us = 0
 
-    def begin(self, first_epoch: int) -> None:
+    def start_leading(self, first_epoch: int) -> None:
         """This controller begins to lead."""
-        self._first_epoch = first_epoch
-        self.resume()
+        self._first_term = first_epoch
+        self.restart_after_pause()
 
-    def resume(self) -> None:
+    def restart_after_pause(self) -> None:
         """This controller stood still: workers may have turned to others meanwhile."""
         self._since_us = self._clock.now_us()
 
-    def take(self, report: Report, *, in_answer: bool) -> list[Order]:
+    def process(self, report: Report, *, is_periodic: bool) -> list[Command]:
         """Take a report, or the answer to /orders; the orders for the answer to a report."""
         now_us = self._clock.now_us()
-        if self._inventory.gone(report.machine):
+        if self._inventory.is_gone(report.machine):
             return []
         machine = self._inventory.machines.get(report.machine)
         if machine is None:
-            if report.epoch < self._first_epoch:
+            if report.term < self._first_term:
                 # Perhaps a late copy from a machine long gone. If it is there, it hears our
                 # epoch with this answer and reports again within half a second.
                 return []
@@ -111,51 +111,53 @@
             machine = self._inventory.adopt(
                 report.machine, report.type, report.zone, report.spot, "booting", now_us
             )
-        if not machine.newer(report):
+        if not machine.is_new_report(report):
             # A late report: what it lists is as old as it is.
             return []
         before = self._standing(machine)
-        if in_answer:
-            machine.note_hearing(report, now_us, self._lease_us)
+        if is_periodic:
+            machine.check_answer_received(report, now_us, self._lease_us)
         else:
-            machine.answered_orders()
+            machine.record_direct_answer()
         machine.address = report.address
-        machine.tenure, machine.tick = report.tenure, report.tick
-        machine.epoch = max(machine.epoch, report.epoch)
-        if report.epoch >= self._first_epoch:
-            self._heard_from(machine, report, in_answer=in_answer)
-        elif machine.phase != "up" and in_answer and machine.probed_us is None:
+        machine.session, machine.sequence = report.session, report.sequence
+        machine.term = max(machine.term, report.term)
+        if report.term >= self._first_term:
+            self._heard_from(machine, report, in_answer=is_periodic)
+        elif machine.phase != "up" and is_periodic and machine.probed_at_us is None:
             # Just up, as it seems: let it see our epoch at once, and it can be used at once.
             self._command_sender.probe(machine)
-        changed = machine.note_tasks(report.tasks)
+        changed = machine.update_tasks(report.tasks)
         evaluation = evaluate_report(
             machine,
             report,
             self._registry.attempts_on(machine.name),
-            self._leadership.epoch(),
+            self._leadership.term_number(),
             lambda job_id, index, number: self._stops.grace_s(machine, (job_id, index, number)),
             self._startable,
-            may_start=self._leadership.may_start(),
-            in_answer=in_answer,
+            may_start=self._leadership.may_start_tasks(),
+            is_periodic=is_periodic,
         )
         # A report from before our time may be a late copy: it proves nothing.
-        outcomes = evaluation.outcomes if machine.hears else []
+        outcomes = evaluation.outcomes if machine.has_acknowledged_leader else []
         for outcome in outcomes:
-            self._outcome_sender.reported(outcome)
+            self._outcome_sender.add_reported(outcome)
         if outcomes:
             self._outcome_sender.send_new()
         if changed or before != self._standing(machine):
             # Most reports tell nothing new: room and plans are worked out for the others only.
-            self._offers.touch(machine.name)
+            self._offers.mark_changed(machine.name)
             self._listener.fleet_changed()
-        for order in evaluation.orders:
+        for order in evaluation.commands:
             log.debug("order to %s: %s", machine.name, order)
-        if in_answer:
+        if is_periodic:
             shown = tuple(
-                order for order in evaluation.orders if next_report_shows(self._registry, order)
+                order
+                for order in evaluation.commands
+                if next_report_confirms(self._registry, order)
             )
-            machine.told(self._leadership.epoch(), shown, now_us)
-        return evaluation.orders
+            machine.record_answer(self._leadership.term_number(), shown, now_us)
+        return evaluation.commands
 
     def _startable(self, job_id: str) -> bool:
         job = self._registry.jobs.get(job_id)
@@ -164,38 +166,38 @@
     def _standing(self, machine: Machine) -> tuple[object, ...]:
         """All that a report can change of whether and how a machine is used, besides its tasks."""
         return (
-            machine.tenure,
+            machine.session,
             machine.phase,
-            machine.hears,
-            machine.rumoured,
-            machine.deaf_since_us is None,
-            machine.notice_until_us is None,
-            machine.distrusted,
+            machine.has_acknowledged_leader,
+            machine.known_from_record_only,
+            machine.not_receiving_since_us is None,
+            machine.spot_notice_until_us is None,
+            machine.unhealthy,
             machine.releasing is None,
-            self._offers.quiet(machine),
+            self._offers.is_silent(machine),
         )
 
     def _heard_from(self, machine: Machine, report: Report, *, in_answer: bool) -> None:
         """A machine has reported under an epoch of ours, so it is there and hears us."""
         now_us = self._clock.now_us()
-        machine.hears = True
+        machine.has_acknowledged_leader = True
         if machine.phase != "up":
             self._listener.machine_up(machine)
-            machine.seen_us = now_us
-        if machine.rumoured:
-            machine.rumoured = False
+            machine.last_seen_at_us = now_us
+        if machine.known_from_record_only:
+            machine.known_from_record_only = False
             machine.type, machine.zone, machine.spot = report.type, report.zone, report.spot
         if in_answer or now_us - self._since_us < self._lease_us:
             # Answers to /orders do not renew its lease: a machine whose reports do not reach us
             # is well only as long as it may still be on its way from the leader before us.
-            machine.seen_us = now_us
-        had_notice = machine.notice_until_us is not None
-        machine.notice_until_us = (
-            now_us + to_us(report.notice_s) if report.notice_s is not None else None
+            machine.last_seen_at_us = now_us
+        had_notice = machine.spot_notice_until_us is not None
+        machine.spot_notice_until_us = (
+            now_us + to_us(report.spot_notice_s) if report.spot_notice_s is not None else None
         )
-        if machine.notice_until_us is not None and not had_notice:
-            log.info("machine %s: notice of %.1f s", machine.name, report.notice_s)
-        if report.tasks != machine.reported:
+        if machine.spot_notice_until_us is not None and not had_notice:
+            log.info("machine %s: notice of %.1f s", machine.name, report.spot_notice_s)
+        if report.tasks != machine.reported_tasks:
             self._learn(machine, report)
 
     def _learn(self, machine: Machine, report: Report) -> None:
@@ -205,13 +207,13 @@
             before = machine.tasks.get((task.task, task.attempt))
             if before is not None and before.phase == task.phase:
                 continue
-            split = split_task_name(task.task)
+            split = parse_task_name(task.task)
             job = self._registry.jobs.get(split[0]) if split is not None else None
             if task.phase in _HAS_IMAGE and job is not None and shape is not None:
-                machine.used_image(job.spec.image, job.spec.image_gb, shape.cache_gb)
+                machine.record_image_use(job.spec.image, job.spec.image_gb, shape.cache_gb)
             if task.phase != "exited" or split is None:
                 continue
-            self._failures.note_exit(machine, split[0], task)
-        if self._failures.distrusts(machine) and not machine.distrusted:
-            machine.distrusted = True
+            self._failures.record_exit(machine, split[0], task)
+        if self._failures.is_unhealthy(machine) and not machine.unhealthy:
+            machine.unhealthy = True
             self._listener.release(machine, "fails its tasks")
--- a/mosswalk/fleet/silence.py
+++ b/mosswalk/fleet/silence.py
@@ -15,16 +15,16 @@
     """How long to wait, in microseconds."""
 
     # More than one report has been missed.
-    quiet_us: int
+    late_after_us: int
     # A lone machine this silent is taken for dead.
-    silent_us: int
+    silent_after_us: int
     # Its lease has run out, and with it all its tasks.
     lease_us: int
     # The same where a controller may have kept its lease up after all others lost sight of it.
-    kept_us: int = 0
+    kept_alive_lease_us: int = 0
 
 
-def quiet_zones(
+def zones_with_many_late(
     silences: Mapping[str, int], silence_limits: SilenceLimits, zone_of: Mapping[str, str]
 ) -> set[str]:
     """Zones in which many machines are quiet at once.
@@ -35,12 +35,14 @@
     """
     there = Counter(zone_of[name] for name in silences)
     quiet = Counter(
-        zone_of[n] for n, silence_us in silences.items() if silence_us > silence_limits.quiet_us
+        zone_of[n]
+        for n, silence_us in silences.items()
+        if silence_us > silence_limits.late_after_us
     )
     return {zone for zone, count in quiet.items() if count >= 3 and count * 3 > there[zone]}
 
 
-def to_release(
+def machines_to_release(
     silences: Mapping[str, int],
     silence_limits: SilenceLimits,
     zone_of: Mapping[str, str],
@@ -55,15 +57,15 @@
 
     def limit_us(zone: str) -> int:
         if zone not in quiet:
-            return silence_limits.silent_us
-        return silence_limits.silent_us + (
-            silence_limits.kept_us if zone in cut_off else silence_limits.lease_us
+            return silence_limits.silent_after_us
+        return silence_limits.silent_after_us + (
+            silence_limits.kept_alive_lease_us if zone in cut_off else silence_limits.lease_us
         )
 
     return sorted(n for n, silence_us in silences.items() if silence_us > limit_us(zone_of[n]))
 
 
-def reclaimed(
+def is_reclaimed(
     silence_us: int, notice_until_us: int | None, now_us: int, silence_limits: SilenceLimits
 ) -> bool:
     """Whether the cloud has taken a machine back, as it gave notice of.
@@ -72,4 +74,4 @@
     full silence keeps all that was lost from starting elsewhere.
     """
     over = notice_until_us is not None and now_us > notice_until_us
-    return over and silence_us > silence_limits.quiet_us // 2
+    return over and silence_us > silence_limits.late_after_us // 2
--- a/mosswalk/fleet/stale_starts.py
+++ b/mosswalk/fleet/stale_starts.py
@@ -35,25 +35,25 @@
     def check(self) -> None:
         """Look for them, and have a new term made if one does not go away."""
         now_us = self._clock.now_us()
-        epoch = self._leadership.epoch()
+        epoch = self._leadership.term_number()
         late: dict[AttemptKey, int] = {}
         for machine in self._inventory.machines.values():
-            if not machine.unanswered:
+            if not machine.unanswered_starts:
                 continue
             for key in self._registry.attempts_on(machine.name):
                 start = (task_name(key[0], key[1]), key[2])
                 job = self._registry.jobs.get(key[0])
                 # A gang that ends waits for every task of the attempt to be proven gone.
-                over = job is not None and (not job.open or job.ending)
-                if over and machine.may_run_late(start, epoch) and start not in machine.tasks:
+                over = job is not None and (not job.open or job.gang_ending)
+                if over and machine.may_still_start(start, epoch) and start not in machine.tasks:
                     late[key] = self._since_us.get(key, now_us)
-            machine.unanswered = {
+            machine.unanswered_starts = {
                 k: v
-                for k, v in machine.unanswered.items()
-                if v[0] >= epoch and v[1] == machine.tenure
+                for k, v in machine.unanswered_starts.items()
+                if v[0] >= epoch and v[1] == machine.session
             }
         self._since_us = late
         if any(now_us - since_us > _LATE_START_US for since_us in late.values()):
             log.info("new term wanted: the start of a task that must not run is still on the way")
             self._since_us = {}
-            self._leadership.want_new_term()
+            self._leadership.request_new_term()
--- a/mosswalk/fleet/stopping.py
+++ b/mosswalk/fleet/stopping.py
@@ -16,7 +16,7 @@
 from mosswalk.jobs.registry import AttemptKey, JobRegistry
 from mosswalk.jobs.state import Job, task_name
 from mosswalk.store.records import Attempt
-from mosswalk.wire.workers import Order
+from mosswalk.wire.workers import Command
 
 # A task that has not saved by then, beyond its grace period, is ended.
 _OVERDUE_US = 5 * SECOND_US
@@ -36,7 +36,7 @@
         settings: Settings,
         inventory: Inventory,
         registry: JobRegistry,
-        push: Callable[[Machine, Order], None],
+        push: Callable[[Machine, Command], None],
         quiet: Callable[[Machine], bool],
         clock: Clock,
     ) -> None:
@@ -55,7 +55,7 @@
         """Forget all: another controller leads."""
         self._stops.clear()
 
-    def forget_settled(self) -> None:
+    def discard_terminated(self) -> None:
         """Drop what the records don't show any more."""
         for key in [k for k in self._stops if not self._registry.is_live(k)]:
             del self._stops[key]
@@ -71,12 +71,12 @@
             if job.is_gang:
                 overdue_us += self._gang_peer_us
             return 0.0 if self._clock.now_us() - stop.since_us > overdue_us else stop.grace_s
-        if job.ending:
+        if job.gang_ending:
             return 0.0
-        noticed = machine.notice_until_us is not None
-        if noticed and job.spec.checkpoint_s > 0 and not job.is_gang:
+        noticed = machine.spot_notice_until_us is not None
+        if noticed and job.spec.checkpoint_interval_s > 0 and not job.is_gang:
             # The machine is about to be taken: save what can be saved.
-            return job.spec.save_s
+            return job.spec.checkpoint_duration_s
         return None
 
     def stop(self, job: Job, attempt: Attempt, grace_s: float) -> None:
@@ -87,47 +87,51 @@
 
     def _kill(self, job: Job, attempt: Attempt, grace_s: float) -> None:
         machine = self._inventory.machines.get(attempt.machine)
-        if machine is None or machine.tenure != attempt.tenure or machine.releasing:
+        if machine is None or machine.session != attempt.session or machine.releasing:
             return
         name = task_name(job.id, attempt.task)
         reported = machine.tasks.get((name, attempt.number))
         if reported is None or reported.phase != "exited":
-            self._push(machine, Order("kill", name, attempt.number, grace_s))
+            self._push(machine, Command("kill", name, attempt.number, grace_s))
 
-    def end_withdrawn(self, job: Job) -> None:
+    def kill_withdrawn(self, job: Job) -> None:
         """A job is withdrawn: end its tasks without waiting for the machines' next reports."""
-        for attempt in job.live():
+        for attempt in job.live_attempts():
             self._kill(job, attempt, 0.0)
 
-    def end_gang(self, job: Job) -> None:
+    def kill_gang(self, job: Job) -> None:
         """A gang's attempt is over: end what is left of it, unless it is saving."""
-        for attempt in job.live():
+        for attempt in job.live_attempts():
             if (job.id, attempt.task, attempt.number) not in self._stops:
                 self._kill(job, attempt, 0.0)
 
-    def gangs_to_save(self) -> Iterator[Job]:
+    def gangs_to_checkpoint(self) -> Iterator[Job]:
         """Gangs that are to save since one of their machines is about to be taken."""
         for job in self._registry.gangs.values():
-            if job.startable and job.spec.checkpoint_s > 0 and self._can_save(job):
+            if job.startable and job.spec.checkpoint_interval_s > 0 and self._can_save(job):
                 yield job
 
     def _can_save(self, job: Job) -> bool:
         """Whether a machine of the gang is under notice, and all can be told while it lasts."""
         now_us = self._clock.now_us()
         noticed = False
-        for attempt in job.live():
+        for attempt in job.live_attempts():
             if (job.id, attempt.task, attempt.number) in self._stops:
                 return False
             machine = self._inventory.machines.get(attempt.machine)
-            if machine is None or machine.deaf_since_us is not None or self._quiet(machine):
+            if (
+                machine is None
+                or machine.not_receiving_since_us is not None
+                or self._quiet(machine)
+            ):
                 return False
-            if machine.notice_until_us is not None:
-                if machine.notice_until_us - now_us < to_us(job.spec.save_s):
+            if machine.spot_notice_until_us is not None:
+                if machine.spot_notice_until_us - now_us < to_us(job.spec.checkpoint_duration_s):
                     return False
                 noticed = True
         return noticed
 
     def stop_gang(self, job: Job) -> None:
         """Have a gang save and stop: all its tasks are told at once."""
-        for attempt in job.live():
-            self.stop(job, attempt, job.spec.save_s)
+        for attempt in job.live_attempts():
+            self.stop(job, attempt, job.spec.checkpoint_duration_s)
--- a/mosswalk/fleet/stray_machines.py
+++ b/mosswalk/fleet/stray_machines.py
@@ -39,7 +39,7 @@
     def probe(self, leading_since_us: int) -> None:
         """Call some of them over."""
         now_us = self._clock.now_us()
-        if now_us - leading_since_us < _CALL_AFTER_US or not self._leadership.may_start():
+        if now_us - leading_since_us < _CALL_AFTER_US or not self._leadership.may_start_tasks():
             return
         machines = self._inventory.machines
         strays = [machine for machine in machines.values() if self._is_stray(machine, now_us)]
@@ -51,8 +51,8 @@
     def _is_stray(machine: Machine, now_us: int) -> bool:
         return (
             machine.phase == "up"
-            and (machine.must_prove or not machine.hears)
+            and (machine.needs_direct_answer or not machine.has_acknowledged_leader)
             and machine.address is not None
             and not machine.releasing
-            and (machine.probed_us is None or now_us - machine.probed_us > _CALL_AFTER_US)
+            and (machine.probed_at_us is None or now_us - machine.probed_at_us > _CALL_AFTER_US)
         )
--- a/mosswalk/fleet/task_failures.py
+++ b/mosswalk/fleet/task_failures.py
@@ -20,26 +20,29 @@
     def __init__(self, errors_to_distrust: int) -> None:
         self._errors_to_distrust = errors_to_distrust
         # The machines on which each job's tasks have failed.
-        self.machines_by_job: dict[str, set[str]] = {}
+        self.failed_machines_by_job: dict[str, set[str]] = {}
 
-    def note_exit(self, machine: Machine, job_id: str, task: TaskReport) -> None:
+    def record_exit(self, machine: Machine, job_id: str, task: TaskReport) -> None:
         """Count a task's exit for or against its machine."""
         if task.cause == "done":
-            machine.errors = 0
+            machine.consecutive_errors = 0
         elif task.cause == "error":
-            failed_on = self.machines_by_job.setdefault(job_id, set())
+            failed_on = self.failed_machines_by_job.setdefault(job_id, set())
             failed_on.add(machine.name)
             if len(failed_on) <= _MOST_BLAMED_BY_A_JOB:
-                machine.errors += 1
+                machine.consecutive_errors += 1
                 log.info(
-                    "machine %s: %s failed, %d errors", machine.name, task.task, machine.errors
+                    "machine %s: %s failed, %d errors",
+                    machine.name,
+                    task.task,
+                    machine.consecutive_errors,
                 )
 
-    def distrusts(self, machine: Machine) -> bool:
+    def is_unhealthy(self, machine: Machine) -> bool:
         """Whether a machine fails its tasks."""
-        return machine.errors >= self._errors_to_distrust
+        return machine.consecutive_errors >= self._errors_to_distrust
 
-    def forget_all_but(self, jobs: Container[str]) -> None:
+    def retain_jobs(self, jobs: Container[str]) -> None:
         """Drop what is known of jobs that are over."""
-        for job_id in [j for j in self.machines_by_job if j not in jobs]:
-            del self.machines_by_job[job_id]
+        for job_id in [j for j in self.failed_machines_by_job if j not in jobs]:
+            del self.failed_machines_by_job[job_id]
--- a/mosswalk/fleet/withdrawing.py
+++ b/mosswalk/fleet/withdrawing.py
@@ -43,12 +43,12 @@
         """
         if not self._registry.withdrawn or self._clock.now_us() - since_us < _HEAR_US:
             return
-        limit_us = self._silence_limits.silent_us + self._silence_limits.lease_us
+        limit_us = self._silence_limits.silent_after_us + self._silence_limits.lease_us
         for job in list(self._registry.withdrawn.values()):
-            age_us = self._clock.wall_us() - job.record.withdrawn_us
-            if job.record.withdrawn_us == 0 or age_us < limit_us:
+            age_us = self._clock.wall_us() - job.record.withdrawn_at_us
+            if job.record.withdrawn_at_us == 0 or age_us < limit_us:
                 continue
-            for attempt in job.live():
+            for attempt in job.live_attempts():
                 machine = self._inventory.machines.get(attempt.machine)
                 key = (job.id, attempt.task, attempt.number)
                 if machine is not None and not self._gone(machine, key):
@@ -64,9 +64,10 @@
         reported = machine.tasks.get(start)
         if reported is not None:
             return reported.phase == "exited"
-        epoch = self._leadership.epoch()
+        epoch = self._leadership.term_number()
         heard = (
-            machine.hears
-            and self._clock.now_us() - machine.seen_us < self._silence_limits.silent_us
+            machine.has_acknowledged_leader
+            and self._clock.now_us() - machine.last_seen_at_us
+            < self._silence_limits.silent_after_us
         )
-        return heard and machine.epoch >= epoch and not machine.may_run_late(start, epoch)
+        return heard and machine.term >= epoch and not machine.may_still_start(start, epoch)
--- a/mosswalk/jobs/admission.py
+++ b/mosswalk/jobs/admission.py
@@ -5,21 +5,21 @@
 from collections.abc import Mapping
 
 from mosswalk.config import Team
-from mosswalk.jobs.state import milli, milli_room
+from mosswalk.jobs.state import milli_ceil, milli_floor
 from mosswalk.wire.cloud import MachineType
 from mosswalk.wire.users import ARRAY, GANG, JobSpec
 
 
-def fits_type(spec: JobSpec, machine: MachineType) -> bool:
+def fits_machine_type(spec: JobSpec, machine: MachineType) -> bool:
     """Whether one task fits an empty machine of this type, where the job allows it."""
     if spec.types is not None and machine.name not in spec.types:
         return False
     if spec.zone is not None and spec.zone not in machine.zones:
         return False
     return (
-        milli(spec.cpus) <= milli_room(machine.cpus)
-        and milli(spec.gpus) <= milli_room(machine.gpus)
-        and milli(spec.memory_gb) <= milli_room(machine.memory_gb)
+        milli_ceil(spec.cpus) <= milli_floor(machine.cpus)
+        and milli_ceil(spec.gpus) <= milli_floor(machine.gpus)
+        and milli_ceil(spec.memory_gb) <= milli_floor(machine.memory_gb)
     )
 
 
@@ -27,27 +27,29 @@
     """Whether the zones that have fitting machines could hold all tasks at the same time."""
     if not spec.spread or spec.tasks == 1:
         return True
-    zones = {zone for machine in types if fits_type(spec, machine) for zone in machine.zones}
+    zones = {
+        zone for machine in types if fits_machine_type(spec, machine) for zone in machine.zones
+    }
     if spec.zone is not None:
         zones &= {spec.zone}
     # At most half of the tasks, rounded up, may be in one zone.
     return not spec.one_zone and len(zones) > 1
 
 
-def never_runs(
+def rejection_reason(
     spec: JobSpec, types: tuple[MachineType, ...], teams: Mapping[str, Team]
 ) -> str | None:
     """Why the job can never run, or None."""
     team = teams.get(spec.team)
     if team is None:
         return f"owner: no team {spec.team}"
-    if not any(fits_type(spec, machine) for machine in types):
+    if not any(fits_machine_type(spec, machine) for machine in types):
         return "a task fits no allowed machine type"
     if spec.kind == GANG and not _zones_for_all(spec, types):
         return "no zones could hold all tasks together"
     count = 1 if spec.kind == ARRAY else spec.tasks
-    if team.cpus_max > 0 and count * milli(spec.cpus) > milli_room(team.cpus_max):
+    if team.cpus_max > 0 and count * milli_ceil(spec.cpus) > milli_floor(team.cpus_max):
         return "cores: more than the team's limit"
-    if team.gpus_max > 0 and count * milli(spec.gpus) > milli_room(team.gpus_max):
+    if team.gpus_max > 0 and count * milli_ceil(spec.gpus) > milli_floor(team.gpus_max):
         return "cards: more than the team's limit"
     return None
--- a/mosswalk/jobs/layout.py
+++ b/mosswalk/jobs/layout.py
@@ -16,13 +16,13 @@
 from mosswalk.store.writer import Change
 
 
-def is_too_coarse(job: Job, limits: RecordLimits) -> bool:
+def needs_split(job: Job, limits: RecordLimits) -> bool:
     """Whether a job's records may outgrow what the service takes."""
     size = records.chunk_size(limits, job.spec)
-    return job.record.chunk > size and job.spec.tasks > size
+    return job.record.chunk_size > size and job.spec.tasks > size
 
 
-class Split(Struct):
+class SplitRecords(Struct):
     """A job in smaller records."""
 
     header: JobRecord
@@ -39,14 +39,14 @@
         return [*(Change(guards, dict(step)) for step in steps), Change(guards, header)]
 
 
-def split(job: Job, limits: RecordLimits) -> Split:
+def split_records(job: Job, limits: RecordLimits) -> SplitRecords:
     """A job's tasks in chunks that fit the limits."""
     size = records.chunk_size(limits, job.spec)
     done = 0
     for number in job.chunk_numbers():
-        done |= job.tasks_of(number).done_mask() << (number * job.record.chunk)
+        done |= job.tasks_of(number).done_mask() << (number * job.record.chunk_size)
     live: dict[int, list[Attempt]] = {}
-    for attempt in job.live():
+    for attempt in job.live_attempts():
         live.setdefault(attempt.task // size, []).append(attempt)
     parts: dict[int, TaskChunk] = {}
     for number in range(-(-job.spec.tasks // size)):
@@ -55,9 +55,13 @@
         if number == 0 or tasks != TaskChunk():
             parts[number] = tasks
     layout = job.version
-    return Split(
+    return SplitRecords(
         structs.replace(
-            job.record, first_chunk=0, split_chunk=size, layout=layout, tasks=parts.pop(0)
+            job.record,
+            initial_chunk_size=0,
+            split_chunk_size=size,
+            layout=layout,
+            tasks=parts.pop(0),
         ),
         {records.chunk_key(job.id, n, layout): tasks for n, tasks in parts.items()},
     )
--- a/mosswalk/jobs/registry.py
+++ b/mosswalk/jobs/registry.py
@@ -18,7 +18,7 @@
 AttemptKey = tuple[str, int, int]
 
 
-class Orphan(NamedTuple):
+class OrphanedChunk(NamedTuple):
     """A chunk that is no job's, and the version of the job's header by which that is known."""
 
     job: str
@@ -36,12 +36,12 @@
         self.unplaced: dict[str, dict[str, Job]] = {}
         self.withdrawn: dict[str, Job] = {}
         self._usage: dict[str, Usage] = {}
-        self.by_machine: dict[str, dict[AttemptKey, Attempt]] = {}
+        self.attempts_by_machine: dict[str, dict[AttemptKey, Attempt]] = {}
         # By job, layout and number; only those of the layout that the header names are the job's.
         self._chunks: dict[str, dict[tuple[int, int], TaskChunk]] = {}
         self._indexed: dict[tuple[str, int], tuple[Attempt, ...]] = {}
         # Called with (machine, job, attempt) when an attempt appears.
-        self.on_attempt: list[Callable[[str, Job, Attempt], None]] = []
+        self.on_attempt_added: list[Callable[[str, Job, Attempt], None]] = []
         # Gangs of which attempts may be running.
         self.gangs: dict[str, Job] = {}
         # Called with a job that was open and is withdrawn now.
@@ -49,7 +49,7 @@
         # Called with a gang whose attempt has just ended before it was done.
         self.on_gang_ending: list[Callable[[Job], None]] = []
         # Called with a machine's name when what is placed on it has changed.
-        self.on_machine: list[Callable[[str], None]] = []
+        self.on_machine_changed: list[Callable[[str], None]] = []
         mirror.listen(records.JOB_PREFIX, self._job_changed)
         mirror.listen(records.CHUNK_PREFIX, self._chunk_changed)
 
@@ -64,25 +64,25 @@
         for attempt in old:
             if attempt not in kept:
                 changed.add(attempt.machine)
-                there = self.by_machine.get(attempt.machine)
+                there = self.attempts_by_machine.get(attempt.machine)
                 if there is not None:
                     there.pop((job_id, attempt.task, attempt.number), None)
                     if not there:
-                        del self.by_machine[attempt.machine]
+                        del self.attempts_by_machine[attempt.machine]
         known = set(old)
         fresh = [a for a in live if a not in known]
         for attempt in fresh:
-            there = self.by_machine.setdefault(attempt.machine, {})
+            there = self.attempts_by_machine.setdefault(attempt.machine, {})
             there[(job_id, attempt.task, attempt.number)] = attempt
             changed.add(attempt.machine)
-        for action in self.on_machine:
+        for action in self.on_machine_changed:
             for machine in changed:
                 action(machine)
         return fresh
 
     def _announce(self, job: Job, fresh: Iterable[Attempt]) -> None:
         for attempt in fresh:
-            for action in self.on_attempt:
+            for action in self.on_attempt_added:
                 action(attempt.machine, job, attempt)
 
     def _replace(self, job_id: str, job: Job | None) -> None:
@@ -150,8 +150,8 @@
         for number, tasks in job.chunks.items():
             fresh += self._index(job_id, number, tasks.live)
         # An attempt that moves to another chunk leaves the one it was in after it has come.
-        for attempt in job.live():
-            there = self.by_machine.setdefault(attempt.machine, {})
+        for attempt in job.live_attempts():
+            there = self.attempts_by_machine.setdefault(attempt.machine, {})
             there[(job_id, attempt.task, attempt.number)] = attempt
         return [attempt for attempt in fresh if attempt not in known]
 
@@ -161,7 +161,7 @@
         if before.record.phase == "open" and job.record.phase != "open":
             for action in self.on_withdrawn:
                 action(job)
-        elif job.ending and not before.ending and job.open:
+        elif job.gang_ending and not before.gang_ending and job.open:
             for action in self.on_gang_ending:
                 action(job)
 
@@ -186,9 +186,9 @@
             job.chunks[number] = tasks
             self._announce(job, self._index(job_id, number, tasks.live))
 
-    def orphans(self) -> list[Orphan]:
+    def orphaned_chunks(self) -> list[OrphanedChunk]:
         """Chunks that are no job's: of jobs that are over, or of a layout given up."""
-        found: list[Orphan] = []
+        found: list[OrphanedChunk] = []
         for job_id, chunks in self._chunks.items():
             job = self.jobs.get(job_id)
             # Chunks named by the header's version are being written for its next layout.
@@ -196,14 +196,14 @@
             for layout, number in chunks:
                 if layout not in kept:
                     key = records.chunk_key(job_id, number, layout)
-                    found.append(Orphan(job_id, job.version if job is not None else 0, key))
+                    found.append(OrphanedChunk(job_id, job.version if job is not None else 0, key))
         return found
 
     def attempts_on(self, machine: str) -> dict[AttemptKey, Attempt]:
         """The live attempts on a machine."""
-        return self.by_machine.get(machine, {})
+        return self.attempts_by_machine.get(machine, {})
 
     def is_live(self, key: AttemptKey) -> bool:
         """Whether an attempt is in its job's record."""
         job = self.jobs.get(key[0])
-        return job is not None and job.find(key[1], key[2]) is not None
+        return job is not None and job.find_attempt(key[1], key[2]) is not None
