--- a/mosswalk/jobs/state.py
+++ b/mosswalk/jobs/state.py
@@ -24,7 +24,7 @@
 
 # A deployment has few different amounts, and they are asked for with each task and machine.
 @lru_cache(maxsize=1024)
-def milli(amount: float) -> int:
+def milli_ceil(amount: float) -> int:
     """An amount in whole thousandths, rounded up so that sums never hide a part of it."""
     scaled = amount * 1000
     nearest = round(scaled)
@@ -32,7 +32,7 @@
 
 
 @lru_cache(maxsize=1024)
-def milli_room(amount: float) -> int:
+def milli_floor(amount: float) -> int:
     """Room in whole thousandths, rounded down."""
     scaled = amount * 1000
     nearest = round(scaled)
@@ -47,7 +47,7 @@
 # Asked for each task of each report, and what runs stays the same for many of them. Beyond these,
 # names are taken apart again, for a microsecond each: more would cost 250 bytes of memory a name.
 @lru_cache(maxsize=32_768)
-def split_task_name(name: str) -> tuple[str, int] | None:
+def parse_task_name(name: str) -> tuple[str, int] | None:
     """A task's job and index, or None if the name isn't one."""
     job_id, slash, index = name.partition("/")
     if not slash or not index.isascii() or not index.isdigit() or len(index) > 9:
@@ -66,15 +66,15 @@
         self.spec: JobSpec = record.spec
         self.id: str = record.spec.id
         spec = record.spec
-        self.cpus = milli(spec.cpus)
-        self.gpus = milli(spec.gpus)
-        self.memory = milli(spec.memory_gb)
+        self.cpus = milli_ceil(spec.cpus)
+        self.gpus = milli_ceil(spec.gpus)
+        self.memory = milli_ceil(spec.memory_gb)
         self.rank = PRIORITIES.index(spec.priority)
         self.is_gang = spec.kind == GANG
         # How many of its tasks have to be placed in one go.
-        self.together = spec.tasks if self.is_gang else 1
+        self.gang_size = spec.tasks if self.is_gang else 1
         # Its place in its team's queue, with by whose aims and for which moment it was worked out.
-        self.place_in_queue: tuple[object, int, tuple[int, bool, int, int, str]] | None = None
+        self.cached_queue_key: tuple[object, int, tuple[int, bool, int, int, str]] | None = None
 
     @property
     def open(self) -> bool:
@@ -84,19 +84,19 @@
     @property
     def startable(self) -> bool:
         """Whether its attempts may be started: those of a gang only once all are recorded."""
-        return self.open and (not self.is_gang or self.record.gang == "placed")
+        return self.open and (not self.is_gang or self.record.gang_phase == "placed")
 
     @property
-    def ending(self) -> bool:
+    def gang_ending(self) -> bool:
         """Whether it is a gang whose attempt has lost a task, or was never placed whole."""
-        return self.record.gang == "ending"
+        return self.record.gang_phase == "ending"
 
-    def due_us(self) -> int:
+    def deadline_at_us(self) -> int:
         """The wall time by which it should be done; the far future if it has no deadline."""
         deadline_s = self.spec.deadline_s
         if deadline_s is None:
             return 1 << 62
-        return self.record.submitted_us + round(deadline_s * 1e6)
+        return self.record.submitted_at_us + round(deadline_s * 1e6)
 
     def pending_count(self) -> int:
         """Tasks to be placed: neither done nor live, and of a gang all or none."""
@@ -106,7 +106,7 @@
 
     def chunk_of(self, index: int) -> int:
         """Which record holds a task."""
-        return index // self.record.chunk
+        return index // self.record.chunk_size
 
     def tasks_of(self, chunk: int) -> TaskChunk:
         """A record's tasks; one never written has all of them pending."""
@@ -116,18 +116,18 @@
 
     def chunk_numbers(self) -> range:
         """All chunks of the job."""
-        return range(-(-self.spec.tasks // self.record.chunk))
+        return range(-(-self.spec.tasks // self.record.chunk_size))
 
-    def live(self) -> Iterator[Attempt]:
+    def live_attempts(self) -> Iterator[Attempt]:
         """Every attempt that may be running."""
         yield from self.record.tasks.live
         for chunk in self.chunks.values():
             yield from chunk.live
 
-    def pending(self) -> Iterator[int]:
+    def pending_tasks(self) -> Iterator[int]:
         """Tasks to be placed, in order."""
         left = self.pending_count()
-        size = self.record.chunk
+        size = self.record.chunk_size
         for number in self.chunk_numbers():
             if left <= 0:
                 return
@@ -139,7 +139,7 @@
                     left -= 1
                     yield index
 
-    def find(self, index: int, number: int) -> Attempt | None:
+    def find_attempt(self, index: int, number: int) -> Attempt | None:
         """A live attempt."""
         for attempt in self.tasks_of(self.chunk_of(index)).live:
             if attempt.task == index and attempt.number == number:
@@ -159,12 +159,12 @@
         self.gpus += job.gpus * count
 
 
-class Place(Struct, frozen=True):
+class Assignment(Struct, frozen=True):
     """Where a task is to run."""
 
     index: int
     machine: str
-    tenure: int
+    session: int
 
 
 class Draft:
@@ -178,7 +178,7 @@
         self._value_bytes = limits.value_bytes
         self._chunks: dict[int, TaskChunk] = {}
         self.placed: list[Attempt] = []
-        self.settled: list[Attempt] = []
+        self.ended: list[Attempt] = []
 
     def _tasks(self, chunk: int) -> TaskChunk:
         found = self._chunks.get(chunk)
@@ -194,13 +194,15 @@
 
         Where machines' names are short, it always is: tasks are few enough in a record.
         """
-        if len(tasks.live) * records.LONGEST_USUAL_ROW < self._value_bytes // 4:
+        if len(tasks.live) * records.TYPICAL_MAX_ROW_BYTES < self._value_bytes // 4:
             return True
-        rows = sum(records.row_bytes(a.machine) for a in tasks.live) + records.row_bytes(machine)
-        header = records.header_bytes(self.record.spec) if chunk == 0 else 0
+        rows = sum(records.max_row_bytes(a.machine) for a in tasks.live) + records.max_row_bytes(
+            machine
+        )
+        header = records.max_header_bytes(self.record.spec) if chunk == 0 else 0
         return rows + len(tasks.done) + header <= self._value_bytes
 
-    def settle(self, index: int, number: int, kind: OutcomeKind) -> bool:
+    def record_outcome(self, index: int, number: int, kind: OutcomeKind) -> bool:
         """Take an attempt out; whether it was there and could be."""
         chunk = self.job.chunk_of(index)
         tasks = self._tasks(chunk)
@@ -213,14 +215,14 @@
         # A completed replica of a service has no business ending: it is started again.
         elif kind == "done" and self.record.spec.kind == ARRAY:
             mask = tasks.done_mask()
-            bit = 1 << (index - chunk * self.record.chunk)
+            bit = 1 << (index - chunk * self.record.chunk_size)
             if not mask & bit:
                 done = f"{mask | bit:x}"
                 self.record = structs.replace(self.record, done_count=self.record.done_count + 1)
         live = tuple(a for a in tasks.live if a is not gone)
         self._chunks[chunk] = TaskChunk(done, live)
         self.record = structs.replace(self.record, live_count=self.record.live_count - 1)
-        self.settled.append(gone)
+        self.ended.append(gone)
         return True
 
     def _settle_gang(self, kind: OutcomeKind) -> None:
@@ -229,13 +231,13 @@
             return
         if kind == "done":
             self.record = structs.replace(self.record, done_count=self.record.spec.tasks)
-        self.record = structs.replace(self.record, gang="ending")
+        self.record = structs.replace(self.record, gang_phase="ending")
 
     def end_gang(self) -> None:
         """Give up a gang's attempt: its tasks are stopped, and all are placed anew."""
-        self.record = structs.replace(self.record, gang="ending")
+        self.record = structs.replace(self.record, gang_phase="ending")
 
-    def place_gang(self, places: list[Place], term: int) -> list[Place]:
+    def place_gang(self, places: list[Assignment], term: int) -> list[Assignment]:
         """Add a gang's attempts, all with one number; those that don't fit one commit are left.
 
         Nothing may start until the last one is recorded.
@@ -247,10 +249,10 @@
             number = self.record.next_attempt - 1
         left = [place for place in places if self._add(place, number, term) is None]
         phase: GangPhase = "placed" if self.record.live_count == self.job.spec.tasks else "placing"
-        self.record = structs.replace(self.record, gang=phase)
+        self.record = structs.replace(self.record, gang_phase=phase)
         return left
 
-    def place(self, place: Place, term: int) -> Attempt | None:
+    def place(self, place: Assignment, term: int) -> Attempt | None:
         """Add an attempt for a pending task; None if it is not pending or does not fit here."""
         attempt = self._add(place, self.record.next_attempt, term)
         if attempt is not None:
@@ -258,30 +260,34 @@
             self.record = structs.replace(self.record, next_attempt=number)
         return attempt
 
-    def _add(self, place: Place, number: int, term: int) -> Attempt | None:
+    def _add(self, place: Assignment, number: int, term: int) -> Attempt | None:
         index = place.index
         if self.record.phase != "open" or not 0 <= index < self.record.spec.tasks:
             return None
         chunk = self.job.chunk_of(index)
         tasks = self._tasks(chunk)
-        if tasks.done_mask() >> (index - chunk * self.record.chunk) & 1:
+        if tasks.done_mask() >> (index - chunk * self.record.chunk_size) & 1:
             return None
         # The rule ran_twice: a task with an attempt that may be running gets no other.
         if any(a.task == index for a in tasks.live) or not self._may_touch(chunk):
             return None
         if not self._has_room(chunk, tasks, place.machine):
             return None
-        attempt = Attempt(index, number, place.machine, place.tenure, term)
+        attempt = Attempt(index, number, place.machine, place.session, term)
         self._chunks[chunk] = TaskChunk(tasks.done, (*tasks.live, attempt))
         self.record = structs.replace(self.record, live_count=self.record.live_count + 1)
         self.placed.append(attempt)
         return attempt
 
-    def changed(self) -> bool:
+    def has_changes(self) -> bool:
         """Whether there is anything to commit."""
-        return self.record is not self.job.record or bool(self._chunks) or self.final() is not None
+        return (
+            self.record is not self.job.record
+            or bool(self._chunks)
+            or self.final_record() is not None
+        )
 
-    def final(self) -> FinalRecord | None:
+    def final_record(self) -> FinalRecord | None:
         """What is kept of the job if these changes end it."""
         record = self.record
         if record.live_count > 0:
@@ -293,12 +299,12 @@
             return FinalRecord("withdrawn", record.done_count)
         return None
 
-    def change(self, guards: dict[str, int]) -> Change:
+    def to_change(self, guards: dict[str, int]) -> Change:
         """The commit, guarded by the job's version and by what the caller adds."""
         job_id = self.job.id
         key = records.job_key(job_id)
         all_guards = {**guards, key: self.job.version}
-        final = self.final()
+        final = self.final_record()
         if final is not None:
             if self.record.phase == "withdrawn":
                 # A job once called cancelled stays so, even if its last task completed.
@@ -326,7 +332,7 @@
 
 def withdraw_change(job: Job, now_us: int) -> Change:
     """The commit by which a job is cancelled, at this time of day."""
-    record = structs.replace(job.record, phase="withdrawn", withdrawn_us=now_us)
+    record = structs.replace(job.record, phase="withdrawn", withdrawn_at_us=now_us)
     key = records.job_key(job.id)
     if record.live_count == 0:
         final_key = records.final_key(job.id)
--- a/mosswalk/leadership/actor.py
+++ b/mosswalk/leadership/actor.py
@@ -14,13 +14,13 @@
 from mosswalk.actors import Clock, to_us
 from mosswalk.config import Settings
 from mosswalk.leadership.terms import (
-    all_detect,
-    answer_bound_us,
+    all_support_detection,
+    max_unconfirmed_us,
     needs_new_term,
     next_term,
     verdicts_between,
 )
-from mosswalk.leadership.upgrade import eligible, may_upgrade
+from mosswalk.leadership.upgrade import eligible_runs, may_upgrade
 from mosswalk.store import records
 from mosswalk.store.client import (
     ConflictError,
@@ -48,14 +48,14 @@
     def may_act(self) -> bool:
         """Whether it may act at all."""
 
-    def may_keep_alive(self) -> bool:
+    def may_renew_worker_leases(self) -> bool:
         """Whether it may renew workers' leases."""
 
     async def confirm(self) -> None:
         """Return once it may act; RefusedError if the state service does not say so now."""
 
 
-class Suspicions(Protocol):
+class FailureDetector(Protocol):
     """What a failure detector holds of the other controllers."""
 
     def suspected(self) -> frozenset[str]:
@@ -86,13 +86,13 @@
         self._renew_s = settings.tuning.leadership.renew_s
         self._teams = [team.name for team in settings.params.teams]
         workers = settings.params.workers
-        self.bound_us = answer_bound_us(workers.lease_s, workers.cancel_s)
+        self.max_unconfirmed_us = max_unconfirmed_us(workers.lease_s, workers.cancel_s)
         # Read and written by a lease renewer beside the main loop, if there is one.
         self.lease: int | None = None
-        self.lease_us = 0
+        self.lease_renewed_at_us = 0
         # Both are there if failure detection is on.
         self.authority: Authority | None = None
-        self.suspicions: Suspicions | None = None
+        self.failure_detector: FailureDetector | None = None
         self._absent = 0
         self.term: TermRecord | None = None
         self.term_version = 0
@@ -132,14 +132,14 @@
             and self.term.term >= self._outbid
         )
 
-    def may_answer(self) -> bool:
+    def may_renew_worker_leases(self) -> bool:
         """Whether a leader may still renew workers' leases."""
-        if self.authority is not None and not self.authority.may_keep_alive():
+        if self.authority is not None and not self.authority.may_renew_worker_leases():
             return False
-        confirmed_us = min(self.lease_us, self._mirror.confirmed_us)
-        return self.leads() and self._clock.now_us() - confirmed_us < self.bound_us
+        confirmed_us = min(self.lease_renewed_at_us, self._mirror.confirmed_until_us)
+        return self.leads() and self._clock.now_us() - confirmed_us < self.max_unconfirmed_us
 
-    def may_keep(self) -> bool:
+    def may_renew_worker_leases_as_follower(self) -> bool:
         """Whether one that does not lead may renew workers' leases, when nobody else can.
 
         For as long as a leader might, and for the same reason: what it doesn't know to be
@@ -147,17 +147,17 @@
         """
         if self.term is None or self.leads() or self.term.term < self._outbid:
             return False
-        return self._clock.now_us() - self._mirror.confirmed_us < self.bound_us
+        return self._clock.now_us() - self._mirror.confirmed_until_us < self.max_unconfirmed_us
 
-    def present_in(self, zones: Mapping[str, str]) -> set[str]:
+    def zones_with_controller(self, zones: Mapping[str, str]) -> set[str]:
         """The zones in which a controller is up, given each one's zone."""
         return {zones[node] for node in {*self.present, self.node} if node in zones}
 
-    def may_start(self) -> bool:
+    def may_start_tasks(self) -> bool:
         """Whether a leader may start tasks: only while it hears from the state service."""
         if not self._may_act():
             return False
-        fresh_us = self._clock.now_us() - self._mirror.confirmed_us
+        fresh_us = self._clock.now_us() - self._mirror.confirmed_until_us
         return self.leads() and fresh_us < to_us(5.0)
 
     def _may_act(self) -> bool:
@@ -165,7 +165,9 @@
 
     def suspected(self) -> frozenset[str]:
         """Controllers that get nothing new."""
-        return self.suspicions.suspected() if self.suspicions is not None else frozenset()
+        return (
+            self.failure_detector.suspected() if self.failure_detector is not None else frozenset()
+        )
 
     def leader(self) -> str | None:
         """Which controller leads, if any is known to."""
@@ -177,7 +179,7 @@
         """Whether every controller can deal with gangs; once it is so, it stays so."""
         return self.term is not None and self.term.version >= records.GANG_VERSION
 
-    def epoch(self) -> int:
+    def term_number(self) -> int:
         """The term."""
         return self.term.term if self.term is not None else 0
 
@@ -189,15 +191,19 @@
             and self.term.runs.get(self.node) == self.run_id
         )
 
-    def owns_any(self) -> bool:
+    def owns_any_team(self) -> bool:
         """Whether this run of this controller places for any team."""
         return any(self.owns(team) for team in self._teams)
 
-    def outbid(self, epoch: int) -> None:
+    def observe_term(self, term_number: int) -> None:
         """A worker has seen a higher epoch: someone else leads."""
-        if epoch > self.epoch() and self.leads():
-            log.info("stepping down: a worker has seen epoch %d, ours is %d", epoch, self.epoch())
-            self._outbid = max(self._outbid, epoch)
+        if term_number > self.term_number() and self.leads():
+            log.info(
+                "stepping down: a worker has seen epoch %d, ours is %d",
+                term_number,
+                self.term_number(),
+            )
+            self._outbid = max(self._outbid, term_number)
 
     def note_unreachable(self, nodes: frozenset[str]) -> None:
         """Controllers that can't be reached from here, as far as is known."""
@@ -206,9 +212,9 @@
             self._unreachable = nodes
             self._wake.set()
 
-    def want_new_term(self) -> None:
+    def request_new_term(self) -> None:
         """Have a new term made, so that every order of this one is outdated."""
-        self._wanted_above = max(self._wanted_above, self.epoch())
+        self._wanted_above = max(self._wanted_above, self.term_number())
         self._wake.set()
 
     def hand_over(self) -> None:
@@ -256,15 +262,15 @@
 
     def _presence(self, lease: int | None) -> Presence:
         """What others see of us; the lease only if it may be ended by a verdict."""
-        told = UNSET if self.suspicions is None or lease is None else lease
-        return Presence(self.node, self.run_id, records.OUR_VERSION, told)
+        told = UNSET if self.failure_detector is None or lease is None else lease
+        return Presence(self.node, self.run_id, records.CURRENT_VERSION, told)
 
     async def _take_lease(self) -> None:
         asked_us = self._clock.now_us()
         lease = await self._client.grant(self._ttl_us // 1000)
         await self._write_presence(lease)
         self.lease = lease
-        self.lease_us = asked_us
+        self.lease_renewed_at_us = asked_us
         log.info("present: lease %d", lease)
 
     async def _restore_presence(self) -> None:
@@ -300,7 +306,7 @@
                 else:
                     asked_us = self._clock.now_us()
                     await self._client.renew(self.lease, self._ttl_us / 1e6)
-                    self.lease_us = asked_us
+                    self.lease_renewed_at_us = asked_us
                     await self._restore_presence()
             except NoLeaseError:
                 if self.lease is not None:
@@ -331,7 +337,7 @@
             try:
                 if self.authority is not None:
                     await self.authority.confirm()
-                await self._consider()
+                await self._review_term()
             except ConflictError as conflict:
                 self._log_once(f"term not changed: {conflict}")
                 await asyncio.sleep(0.1)
@@ -341,7 +347,7 @@
 
     def _log_once(self, line: str) -> None:
         """Tell what is tried again and again, for as long as an outage lasts, once a term."""
-        epoch = self.epoch()
+        epoch = self.term_number()
         if epoch != self._logged_epoch:
             self._logged_epoch = epoch
             self._logged.clear()
@@ -349,10 +355,10 @@
         self._logged.add(line)
         log.log(level, "%s", line)
 
-    async def _consider(self) -> None:
+    async def _review_term(self) -> None:
         now_us = self._clock.now_us()
         mine = self._lead is not None and self._lead.node == self.node
-        if self.term is not None and self.term.version > records.OUR_VERSION:
+        if self.term is not None and self.term.version > records.CURRENT_VERSION:
             # The others can do more than we know of: following is all that is left to us.
             return
         if self._hands_over:
@@ -363,10 +369,10 @@
             # Those who notice together should not all write at once.
             await asyncio.sleep(self._rng.uniform(0.0, 0.08))
             if self._lead is None:
-                await self._stand("nobody leads")
+                await self._campaign("nobody leads")
         elif mine and self._lead is not None and self._lead.run != self.run_id:
             # Our last run led, and it is dead for certain: no need to wait for its lease.
-            await self._stand("our last run led")
+            await self._campaign("our last run led")
         elif mine and self.term is not None:
             up = self._up()
             restarted = any(run != self.term.runs.get(node, run) for node, run in up.items())
@@ -380,15 +386,15 @@
                 needs_new_term(self.term, up, self._unreachable, suspected)
                 and (restarted or gone or cut_off or settled)
             ):
-                await self._stand("controllers changed")
+                await self._campaign("controllers changed")
             elif may_upgrade(self.term, self._controllers, self.present):
-                await self._stand("all controllers have the new version", upgrade=True)
+                await self._campaign("all controllers have the new version", upgrade=True)
             elif (
-                self.suspicions is not None
+                self.failure_detector is not None
                 and not self.term.detects
-                and all_detect(self._controllers, self.present)
+                and all_support_detection(self._controllers, self.present)
             ):
-                await self._stand("all controllers detect failures", detects=True)
+                await self._campaign("all controllers detect failures", detects=True)
 
     async def _give_up_lead(self) -> None:
         """Free the leader's key; who takes it makes a new term, which outdates this one."""
@@ -405,10 +411,10 @@
 
     def _up(self) -> dict[str, str]:
         """The runs that a term may name, ours whether or not its presence is visible yet."""
-        return eligible(self.term, {**self.present, self.node: self._presence(self.lease)})
+        return eligible_runs(self.term, {**self.present, self.node: self._presence(self.lease)})
 
     def _with_detection(
-        self, term: TermRecord, suspicions: Suspicions, *, detects: bool
+        self, term: TermRecord, suspicions: FailureDetector, *, detects: bool
     ) -> TermRecord:
         """The term with what failure detection records in it."""
         in_force = detects or (self.term is not None and self.term.detects)
@@ -420,28 +426,28 @@
 
     async def confirm_authority(self) -> None:
         """Renew the lease, and read the term and the leader's key, after having stood still."""
-        led, epoch = self.leads(), self.epoch()
+        led, epoch = self.leads(), self.term_number()
         lease, asked_us = self.lease, self._clock.now_us()
         if lease is not None:
             try:
                 await self._client.renew(lease, self._ttl_us / 1e6)
-                self.lease_us = asked_us
+                self.lease_renewed_at_us = asked_us
             except NoLeaseError:
                 log.info("lease %d has ended while we stood still", lease)
                 if self.lease == lease:
                     self.lease = None
                     self._lease_lost.set()
         if self._mirror.loaded:
-            await self._mirror.read_now((records.TERM_KEY, records.LEADER_KEY))
+            await self._mirror.read_latest((records.TERM_KEY, records.LEADER_KEY))
         if led and not self.leads():
             log.info(
                 "deposed while we stood still: led term %d, now %s leads in term %d",
                 epoch,
                 self.leader() or "nobody",
-                self.epoch(),
+                self.term_number(),
             )
 
-    async def _stand(self, why: str, *, upgrade: bool = False, detects: bool = False) -> None:
+    async def _campaign(self, why: str, *, upgrade: bool = False, detects: bool = False) -> None:
         if self.lease is None:
             return
         term = next_term(
@@ -451,11 +457,11 @@
             self._teams,
             self._outbid,
             self._unreachable,
-            records.OUR_VERSION if upgrade else records.FIRST_VERSION,
+            records.CURRENT_VERSION if upgrade else records.FIRST_VERSION,
             self.suspected(),
         )
-        if self.suspicions is not None:
-            term = self._with_detection(term, self.suspicions, detects=detects)
+        if self.failure_detector is not None:
+            term = self._with_detection(term, self.failure_detector, detects=detects)
         guards: tuple[wire.Guard, ...] = (
             wire.Guard(records.LEADER_KEY, self._lead_version),
             wire.Guard(records.TERM_KEY, self.term_version),
--- a/mosswalk/leadership/terms.py
+++ b/mosswalk/leadership/terms.py
@@ -10,7 +10,7 @@
 from mosswalk.store.records import FIRST_VERSION, Presence, TermRecord, Verdict
 
 
-def answer_bound_us(lease_s: float, cancel_s: float) -> int:
+def max_unconfirmed_us(lease_s: float, cancel_s: float) -> int:
     """How long workers may be kept alive without the state service, since it last confirmed.
 
     A job may be withdrawn elsewhere right after that: its tasks must be dead within ``cancel_s``,
@@ -70,7 +70,7 @@
     leader: str,
     runs: Mapping[str, str],
     teams: Iterable[str],
-    above: int = 0,
+    higher_than: int = 0,
     unreachable: Collection[str] = (),
     version: int = FIRST_VERSION,
     suspected: Collection[str] = (),
@@ -80,7 +80,7 @@
     Those the leader can't reach get no teams: it could offer them no room and tell them nothing.
     Those it suspects get no more than they have.
     """
-    number = max(current.term if current is not None else 0, above) + 1
+    number = max(current.term if current is not None else 0, higher_than) + 1
     before = current.owners if current is not None else {}
     reached = [node for node in runs if node not in unreachable]
     owners = assign_teams(teams, leader, reached, before, suspected)
@@ -88,7 +88,7 @@
     return TermRecord(number, leader, owners, dict(runs), version)
 
 
-def all_detect(controllers: Iterable[str], present: Mapping[str, Presence]) -> bool:
+def all_support_detection(controllers: Iterable[str], present: Mapping[str, Presence]) -> bool:
     """Whether all controllers are present and take part in failure detection."""
     return all(node in present and present[node].lease is not UNSET for node in controllers)
 
--- a/mosswalk/leadership/upgrade.py
+++ b/mosswalk/leadership/upgrade.py
@@ -10,19 +10,19 @@
 
 from collections.abc import Iterable, Mapping
 
-from mosswalk.store.records import FIRST_VERSION, OUR_VERSION, Presence, TermRecord
+from mosswalk.store.records import CURRENT_VERSION, FIRST_VERSION, Presence, TermRecord
 
 
 def may_upgrade(
     term: TermRecord, controllers: Iterable[str], present: Mapping[str, Presence]
 ) -> bool:
     """Whether all controllers are present with our version while the term is of an earlier one."""
-    if term.version >= OUR_VERSION:
+    if term.version >= CURRENT_VERSION:
         return False
-    return all(node in present and present[node].version >= OUR_VERSION for node in controllers)
+    return all(node in present and present[node].version >= CURRENT_VERSION for node in controllers)
 
 
-def eligible(term: TermRecord | None, present: Mapping[str, Presence]) -> dict[str, str]:
+def eligible_runs(term: TermRecord | None, present: Mapping[str, Presence]) -> dict[str, str]:
     """The runs of the controllers that a term may name: those that can do what it asks for."""
     version = term.version if term is not None else FIRST_VERSION
     return {node: one.run for node, one in present.items() if one.version >= version}
--- a/mosswalk/metrics.py
+++ b/mosswalk/metrics.py
@@ -35,7 +35,7 @@
         c = self._controller
         machines = c.manager.inventory.machines.values()
         yield Figure("leads", "1 if this controller leads", float(c.leadership.leads()))
-        yield Figure("term", "The current term", float(c.leadership.epoch()))
+        yield Figure("term", "The current term", float(c.leadership.term_number()))
         version = c.leadership.term.version if c.leadership.term is not None else 0
         yield Figure("version", "What all controllers can do: 2 includes gangs", float(version))
         yield Figure("jobs_open", "Jobs that are not over", float(len(c.registry.jobs)))
@@ -62,7 +62,7 @@
         yield Figure(
             "store_backlog",
             "Changes waiting for the write budget",
-            float(c.writer.backlog() + c.users_writer.backlog()),
+            float(c.writer.queue_length() + c.users_writer.queue_length()),
         )
 
         yield Figure(
@@ -77,7 +77,7 @@
     def _detection_figures(self) -> Iterable[Figure]:
         if self._controller.detector is None:
             return
-        figures = self._controller.detector.figures()
+        figures = self._controller.detector.metrics()
         yield Figure("detection_suspicions", "Suspicions begun", figures.suspicions)
         yield Figure(
             "detection_false_suspicions", "Suspicions that ended", figures.false_suspicions
@@ -95,9 +95,9 @@
         yield Figure(
             "detection_renewals_beside",
             "Times the lease was renewed beside the main loop",
-            figures.renewals_beside,
+            figures.background_renewals,
         )
-        for node, level in figures.levels.items():
+        for node, level in figures.suspicion_levels.items():
             yield Figure(
                 "detection_level", "Silence in parts of the patience", level, {"peer": node}
             )
--- a/mosswalk/peers/health.py
+++ b/mosswalk/peers/health.py
@@ -21,11 +21,11 @@
 
 # A watch that brings nothing lasts 2 s and confirms what was so when it began: until the next one
 # ends, that is up to 4.2 s ago. Seen on a calm minute: all followers took themselves for refused.
-FRESH_US = 5_500_000
+MAX_CONFIRMATION_AGE_US = 5_500_000
 _ASK_S = 1.0
 
 
-class PeerStatusLink(Protocol):
+class PeerStatusClient(Protocol):
     """How others are asked."""
 
     async def peer_status(self, node: str) -> PeerStatus:
@@ -38,7 +38,7 @@
     def __init__(
         self,
         others: Iterable[str],
-        peers: PeerStatusLink,
+        peers: PeerStatusClient,
         confirmed_us: Callable[[], int],
         clock: Clock,
         leads: Callable[[], bool] = lambda: False,
@@ -53,30 +53,30 @@
         self._on_unreachable = on_unreachable
         self._on_visitors = on_visitors
         # Who did not answer when this controller, not served, last asked; None while it is served.
-        self.lost: frozenset[str] | None = None
+        self.unreachable_peers: frozenset[str] | None = None
         # Tries in a row that failed, by controller.
         self._failed: dict[str, int] = dict.fromkeys(self._others, 0)
-        self.alone = False
+        self.isolated = False
         # A controller that the state service serves while it does not serve this one.
-        self.served: str | None = None
+        self.served_peer: str | None = None
 
-    def fresh(self) -> bool:
+    def is_served(self) -> bool:
         """Whether the state service serves this controller."""
-        return self._clock.now_us() - self._confirmed_us() < FRESH_US
+        return self._clock.now_us() - self._confirmed_us() < MAX_CONFIRMATION_AGE_US
 
-    def left_alone_by(self, leader: str | None) -> bool:
+    def cannot_reach_leader(self, leader: str | None) -> bool:
         """Whether no leader can be reached from here, nor anybody who could name one.
 
         So it is in a zone that is cut off, or where the leader died in an outage of the state
         service.
         """
-        if self.lost is None or not self.nobody_served():
+        if self.unreachable_peers is None or not self.state_service_unavailable():
             return False
-        return leader is None or leader in self.lost
+        return leader is None or leader in self.unreachable_peers
 
-    def nobody_served(self) -> bool:
+    def state_service_unavailable(self) -> bool:
         """Whether the state service serves neither this controller nor any that it can reach."""
-        return self.lost is not None and self.served is None
+        return self.unreachable_peers is not None and self.served_peer is None
 
     async def _ask(self, node: str) -> PeerStatus | None:
         try:
@@ -85,13 +85,13 @@
             log.debug("controller %s not asked: %s", node, error)
             return None
 
-    async def look(self) -> None:
+    async def update(self) -> None:
         """Decide anew."""
-        fresh = self.fresh()
-        if fresh and self.alone:
+        fresh = self.is_served()
+        if fresh and self.isolated:
             log.info("served by the state service again")
         if fresh:
-            self.alone, self.served, self.lost = False, None, None
+            self.isolated, self.served_peer, self.unreachable_peers = False, None, None
         if not self._others or (fresh and not self._leads()):
             # What was seen long ago must not pass anybody over when this controller leads again.
             self._failed = dict.fromkeys(self._others, 0)
@@ -104,19 +104,27 @@
         if fresh:
             self._on_visitors(sum(peer.stray_workers for peer in answers if peer is not None))
             return
-        self.served = next(
-            (n for n, a in zip(self._others, answers, strict=True) if a is not None and a.fresh),
+        self.served_peer = next(
+            (
+                n
+                for n, a in zip(self._others, answers, strict=True)
+                if a is not None and a.state_is_fresh
+            ),
             None,
         )
-        self.lost = frozenset(n for n, a in zip(self._others, answers, strict=True) if a is None)
+        self.unreachable_peers = frozenset(
+            n for n, a in zip(self._others, answers, strict=True) if a is None
+        )
         # With nobody to ask either, this controller is cut off from all: others may serve.
-        alone = self.served is not None or all(answer is None for answer in answers)
-        if alone and not self.alone:
-            log.info("not served by the state service, others are: %s", self.served or "not known")
-        self.alone = alone
+        alone = self.served_peer is not None or all(answer is None for answer in answers)
+        if alone and not self.isolated:
+            log.info(
+                "not served by the state service, others are: %s", self.served_peer or "not known"
+            )
+        self.isolated = alone
 
     async def run(self) -> None:
         """Look for ever."""
         while True:
             await asyncio.sleep(_ASK_S)
-            await self.look()
+            await self.update()
--- a/mosswalk/peers/withdrawal_broadcast.py
+++ b/mosswalk/peers/withdrawal_broadcast.py
@@ -25,7 +25,7 @@
 _MOST_IN_MESSAGE = 32
 
 
-class WithdrawalLink(Protocol):
+class WithdrawalClient(Protocol):
     """How the others are told."""
 
     async def withdrawn(self, node: str, message: Withdrawals) -> None:
@@ -38,7 +38,7 @@
     def __init__(
         self,
         others: Iterable[str],
-        peers: WithdrawalLink,
+        peers: WithdrawalClient,
         keep_us: int,
         clock: Clock,
         rng: random.Random,
@@ -54,7 +54,7 @@
         }
         self._wake = {node: asyncio.Event() for node in self._waiting}
 
-    def tell(self, withdrawal: Withdrawal) -> None:
+    def enqueue(self, withdrawal: Withdrawal) -> None:
         """Tell all others soon."""
         now_us = self._clock.now_us()
         for node, waiting in self._waiting.items():
--- a/mosswalk/placement/capacity.py
+++ b/mosswalk/placement/capacity.py
@@ -7,18 +7,18 @@
 from msgspec import Struct, field
 
 from mosswalk.jobs.state import Job
-from mosswalk.wire.peers import SlotOffer
+from mosswalk.wire.peers import MachineOffer
 from mosswalk.wire.users import JobSpec
 
 
-class Room(Struct, gc=False):
+class FreeCapacity(Struct, gc=False):
     """What is free on one machine; amounts in thousandths."""
 
     machine: str
     type: str
     zone: str
     spot: bool
-    tenure: int
+    session: int
     cpus: int
     gpus: int
     memory: int
@@ -34,25 +34,25 @@
     # The jobs for which attempts were stopped here a moment ago, if any were.
     claimed_by: frozenset[str] = frozenset()
 
-    def holds(self, job: Job) -> bool:
+    def fits(self, job: Job) -> bool:
         """Whether one task of the job fits by amounts."""
         return self.cpus >= job.cpus and self.gpus >= job.gpus and self.memory >= job.memory
 
-    def fetch_s(self, job: Job) -> float:
+    def image_fetch_s(self, job: Job) -> float:
         """How long a task of the job would wait for its image."""
         spec = job.spec
         return 0.0 if spec.image in self.images else spec.image_gb * self.fetch_s_per_gb
 
-    def most(self, job: Job) -> int:
+    def max_tasks(self, job: Job) -> int:
         """How many tasks of the job fit by amounts."""
         pairs = ((self.cpus, job.cpus), (self.gpus, job.gpus), (self.memory, job.memory))
         return max(0, min((free // asked for free, asked in pairs if asked), default=0))
 
-    def most_part(self, job: Job) -> float:
+    def free_fraction(self, job: Job) -> float:
         """How much of what a task asks for is free, by its scarcest amount."""
         return min(self.cpus / max(1, job.cpus), self.memory / max(1, job.memory))
 
-    def take(self, job: Job, count: int = 1) -> None:
+    def allocate(self, job: Job, count: int = 1) -> None:
         """Use room for tasks; a negative count gives it back."""
         self.cpus -= job.cpus * count
         self.gpus -= job.gpus * count
@@ -72,14 +72,14 @@
         return spec.spot or not self.spot
 
 
-def room_of(offer: SlotOffer) -> Room:
+def capacity_from_offer(offer: MachineOffer) -> FreeCapacity:
     """The room of an offer."""
-    return Room(
+    return FreeCapacity(
         offer.machine,
         offer.type,
         offer.zone,
         offer.spot,
-        offer.tenure,
+        offer.session,
         offer.cpus,
         offer.gpus,
         offer.memory,
@@ -93,18 +93,18 @@
     """Where a job's next task may go, given its attempts that may be running."""
 
     one_zone: bool
-    most_in_zone: int
+    max_in_zone: int
     counts: dict[str, int] = field(default_factory=dict)
 
     def allows(self, zone: str) -> bool:
         """Whether one more attempt may start in the zone."""
         if self.one_zone and self.counts and zone not in self.counts:
             return False
-        return self.counts.get(zone, 0) < self.most_in_zone
+        return self.counts.get(zone, 0) < self.max_in_zone
 
-    def most_more(self, zone: str) -> int:
+    def remaining_in_zone(self, zone: str) -> int:
         """How many more attempts may start in the zone."""
-        return self.most_in_zone - self.counts.get(zone, 0) if self.allows(zone) else 0
+        return self.max_in_zone - self.counts.get(zone, 0) if self.allows(zone) else 0
 
     def add(self, zone: str, count: int = 1) -> None:
         """Count attempts."""
@@ -126,7 +126,7 @@
     rule = new_zone_rule(spec)
     if not spec.one_zone and not spec.spread:
         return rule
-    for attempt in job.live():
+    for attempt in job.live_attempts():
         zone = zone_of.get(attempt.machine)
         if zone is None:
             return None
@@ -138,7 +138,7 @@
 _LEAST_RUN_S = 10.0
 
 
-def _money(job: Job, room: Room, fetch_s: float) -> float:
+def _money(job: Job, room: FreeCapacity, fetch_s: float) -> float:
     """What a task's stay on the machine costs, its image's fetch included."""
     return room.core_price * (fetch_s + max(_LEAST_RUN_S, job.spec.estimate_s))
 
@@ -148,7 +148,9 @@
 _FETCH_STEP_S = 3.0
 
 
-def best_room(job: Job, rooms: Iterable[Room], rule: ZoneRule, avoid: set[str]) -> Room | None:
+def best_capacity(
+    job: Job, rooms: Iterable[FreeCapacity], rule: ZoneRule, avoid: set[str]
+) -> FreeCapacity | None:
     """Where the job's next task goes.
 
     It goes where its image is at hand or soon there: a fetch holds the room and does nothing.
@@ -156,7 +158,7 @@
     a lone one keeps a whole machine from being given back. Other work goes where its stay costs
     least. Then a tight fit, so that large room stays whole.
     """
-    best: Room | None = None
+    best: FreeCapacity | None = None
     best_key: tuple[bool, int, float, int, int, str] | None = None
     spec = job.spec
     cpus, gpus, memory = job.cpus, job.gpus, job.memory
@@ -170,7 +172,7 @@
             # Else the stopped task itself would be put back at once, and stopped again. Replicas
             # wait for nobody.
             continue
-        fetch_s = room.fetch_s(job)
+        fetch_s = room.image_fetch_s(job)
         if spec.kind == "daemon":
             first = round(fetch_s / _REPLICA_STEP_S)
             second = (0.0 if room.replica_cpus else 1.0) + round(room.core_price, 3)
@@ -193,10 +195,12 @@
     return best
 
 
-def room_to_keep(job: Job, rooms: Iterable[Room], shapes: Container[str]) -> Room | None:
+def capacity_to_claim(
+    job: Job, rooms: Iterable[FreeCapacity], shapes: Container[str]
+) -> FreeCapacity | None:
     """The room to keep for a job that is overdue, until its machine has enough of it free.
 
     Else small tasks take each scattered bit that comes free, and a large one never begins.
     """
     open_to = (r for r in rooms if not r.claimed_by and r.allows(job) and r.type in shapes)
-    return max(open_to, key=lambda r: (r.most_part(job), r.machine), default=None)
+    return max(open_to, key=lambda r: (r.free_fraction(job), r.machine), default=None)
--- a/mosswalk/placement/failure_backoff.py
+++ b/mosswalk/placement/failure_backoff.py
@@ -29,10 +29,10 @@
     """Kept for open jobs only; an owner that is new to a team begins without."""
 
     def __init__(self) -> None:
-        self.avoided: dict[str, set[str]] = {}
+        self.avoided_machines: dict[str, set[str]] = {}
         self._holds: dict[str, Hold] = {}
 
-    def learn(self, job_id: str, outcome: Outcome, now_us: int) -> None:
+    def record_outcome(self, job_id: str, outcome: Outcome, now_us: int) -> None:
         """Take in an attempt's outcome."""
         if outcome.kind == "done":
             self._holds.pop(job_id, None)
@@ -42,7 +42,7 @@
             self._hold(job_id, now_us, refused=outcome.kind == "refused")
 
     def _avoid(self, job_id: str, machine: str) -> None:
-        avoided = self.avoided.setdefault(job_id, set())
+        avoided = self.avoided_machines.setdefault(job_id, set())
         if len(avoided) >= _MOST_AVOIDED:
             avoided.clear()
         avoided.add(machine)
@@ -54,13 +54,13 @@
             doublings = min(_MOST_DOUBLINGS, max(0, hold.failures - _FREE_FAILURES - 1))
             hold.until_us = now_us + min(_MOST_BACKOFF_US, _BACKOFF_US << doublings)
 
-    def held(self, now_us: int) -> dict[str, Hold]:
+    def delayed_jobs(self, now_us: int) -> dict[str, Hold]:
         """The jobs that wait."""
         return {job_id: hold for job_id, hold in self._holds.items() if hold.until_us > now_us}
 
-    def forget_all_but(self, jobs: Container[str]) -> None:
+    def retain_only(self, jobs: Container[str]) -> None:
         """Drop what is kept of jobs that are over."""
-        for job_id in [job_id for job_id in self.avoided if job_id not in jobs]:
-            del self.avoided[job_id]
+        for job_id in [job_id for job_id in self.avoided_machines if job_id not in jobs]:
+            del self.avoided_machines[job_id]
         for job_id in [job_id for job_id in self._holds if job_id not in jobs]:
             del self._holds[job_id]
--- a/mosswalk/placement/owner.py
+++ b/mosswalk/placement/owner.py
@@ -13,13 +13,13 @@
 
 from mosswalk.actors import SECOND_US, Clock
 from mosswalk.config import Settings, Team
-from mosswalk.jobs.layout import is_too_coarse, split
+from mosswalk.jobs.layout import needs_split, split_records
 from mosswalk.jobs.registry import JobRegistry
-from mosswalk.jobs.state import Draft, Job, Place, Usage, record_limits, split_task_name
+from mosswalk.jobs.state import Assignment, Draft, Job, Usage, parse_task_name, record_limits
 from mosswalk.leadership.actor import Leadership
-from mosswalk.placement.capacity import Room, room_of
+from mosswalk.placement.capacity import FreeCapacity, capacity_from_offer
 from mosswalk.placement.failure_backoff import FailureBackoff
-from mosswalk.placement.queues import TeamQueue, Urgency
+from mosswalk.placement.queues import QueueOrder, TeamQueue
 from mosswalk.store import records
 from mosswalk.store.client import ConflictError, RefusedError, UnknownOutcomeError
 from mosswalk.store.mirror import Mirror
@@ -60,8 +60,8 @@
         self._clock = clock
         self._limits = record_limits(settings.params.state)
         self._write_rps = settings.params.state.write_rps
-        self._most_settled = _LEAST_IN_ROUND
-        self._urgency = Urgency(settings.params.objectives, settings.params.teams)
+        self._max_outcome_jobs = _LEAST_IN_ROUND
+        self._urgency = QueueOrder(settings.params.objectives, settings.params.teams)
         self._teams = {team.name: team for team in settings.params.teams}
         self._outcomes: dict[tuple[str, int], Outcome] = {}
         # Since when completed tasks of a job wait to be written.
@@ -75,14 +75,14 @@
 
     # What others tell it.
 
-    def outcomes(self, message: Outcomes) -> None:
+    def receive_outcomes(self, message: Outcomes) -> None:
         """Outcomes of attempts; repeated by the leader until the records show them."""
         for outcome in message.outcomes:
             self._outcomes[(outcome.task, outcome.attempt)] = outcome
         if message.outcomes:
             self._wake.set()
 
-    async def offer(self, message: Offer) -> OfferAnswer:
+    async def receive_offer(self, message: Offer) -> OfferAnswer:
         """Room for tasks; answered once what was placed is committed."""
         future: asyncio.Future[OfferAnswer] = asyncio.get_running_loop().create_future()
         self._offers.append((message, future))
@@ -114,11 +114,11 @@
             return
         # Writes are counted over all controllers, so owners take equal parts of them.
         part = 1.0 / max(1, len(set(term.owners.values())))
-        self._writer.share(part)
-        self._most_settled = max(_LEAST_IN_ROUND, int(self._write_rps * part * _ROUND_S))
+        self._writer.set_rate_share(part)
+        self._max_outcome_jobs = max(_LEAST_IN_ROUND, int(self._write_rps * part * _ROUND_S))
         await self._split_records()
         drafts: dict[str, Draft] = {}
-        self._give_up_half_placed(drafts)
+        self._end_partly_placed_gangs(drafts)
         self._apply_outcomes(drafts)
         for job in self._registry.withdrawn.values():
             # One whose last attempt went while it was being withdrawn.
@@ -128,21 +128,21 @@
                 and self._leadership.owns(job.spec.team)
             ):
                 drafts[job.id] = Draft(job, self._limits)
-        unwritten: dict[str, list[Place]] = {}
+        unwritten: dict[str, list[Assignment]] = {}
         placed_for: list[tuple[asyncio.Future[OfferAnswer], int]] = []
         usage = self._registry.usage()
         zones: dict[str, str] = {}
         for offer, _ in offers:
-            zones.update(offer.zones)
+            zones.update(offer.machine_zones)
         for offer, future in offers:
             placed = 0
             if offer.term == term.term:
                 for slots in offer.teams:
-                    for slot in slots.slots:
+                    for slot in slots.machines:
                         zones[slot.machine] = slot.zone
                 for slots in offer.teams:
                     if self._leadership.owns(slots.team) and slots.team in self._teams:
-                        rooms = [room_of(slot) for slot in slots.slots]
+                        rooms = [capacity_from_offer(slot) for slot in slots.machines]
                         placed += self._place_team(
                             self._teams[slots.team],
                             rooms,
@@ -154,12 +154,12 @@
                         )
             placed_for.append((future, placed))
         guards = {records.TERM_KEY: self._leadership.term_version}
-        changes = [d.change(guards) for d in drafts.values() if d.changed()]
+        changes = [d.to_change(guards) for d in drafts.values() if d.has_changes()]
         revisions = await asyncio.gather(*(self._commit(c) for c in changes))
         revisions += await asyncio.gather(
             *(self._write_rest(job_id, left, term.term) for job_id, left in unwritten.items())
         )
-        self._mirror.batch_done()
+        self._mirror.notify_batch_applied()
         highest = max((r for r in revisions if r is not None), default=self._mirror.revision)
         for future, placed in placed_for:
             if not future.done():
@@ -183,14 +183,14 @@
         if now_us - self._searched_us >= _SEARCH_US:
             self._searched_us = now_us
             self._too_coarse = {
-                job.id for job in self._registry.jobs.values() if is_too_coarse(job, self._limits)
+                job.id for job in self._registry.jobs.values() if needs_split(job, self._limits)
             }
         jobs = [
             job
             for job_id in sorted(self._too_coarse)
             if (job := self._registry.jobs.get(job_id)) is not None
             and self._leadership.owns(job.spec.team)
-            and is_too_coarse(job, self._limits)
+            and needs_split(job, self._limits)
         ]
         await asyncio.gather(*(self._split(job) for job in jobs[:_MOST_SPLIT]))
 
@@ -199,39 +199,39 @@
             records.TERM_KEY: self._leadership.term_version,
             records.job_key(job.id): job.version,
         }
-        found = split(job, self._limits)
+        found = split_records(job, self._limits)
         for change in found.changes(guards, self._limits.txn_ops):
             if await self._commit(change) is None:
                 return
-        log.info("%s split into records of %d tasks", job.id, found.header.chunk)
+        log.info("%s split into records of %d tasks", job.id, found.header.chunk_size)
 
     def _is_too_coarse(self, job: Job) -> bool:
         """Whether a job's records must be split before they are written again."""
-        if not self._leadership.gangs_allowed() or not is_too_coarse(job, self._limits):
+        if not self._leadership.gangs_allowed() or not needs_split(job, self._limits):
             return False
         self._too_coarse.add(job.id)
         self._wake.set()
         return True
 
-    def _give_up_half_placed(self, drafts: dict[str, Draft]) -> None:
+    def _end_partly_placed_gangs(self, drafts: dict[str, Draft]) -> None:
         """End gangs' attempts of which only a part was written.
 
         A round waits for all its commits, so whoever was writing the rest has failed or is gone.
         """
         for job in self._registry.gangs.values():
-            if job.record.gang == "placing" and self._leadership.owns(job.spec.team):
+            if job.record.gang_phase == "placing" and self._leadership.owns(job.spec.team):
                 log.info(
                     "%s: attempt given up, only %d tasks placed", job.id, job.record.live_count
                 )
                 drafts[job.id] = Draft(job, self._limits)
                 drafts[job.id].end_gang()
 
-    async def _write_rest(self, job_id: str, left: list[Place], term: int) -> int | None:
+    async def _write_rest(self, job_id: str, left: list[Assignment], term: int) -> int | None:
         """Write what of a gang's attempt did not fit its first commit."""
         revision: int | None = None
         while left:
             job = self._registry.jobs.get(job_id)
-            if job is None or job.record.gang != "placing" or not job.open:
+            if job is None or job.record.gang_phase != "placing" or not job.open:
                 break
             draft = Draft(job, self._limits)
             before = len(left)
@@ -239,7 +239,7 @@
             if len(left) == before:
                 break
             revision = await self._commit(
-                draft.change({records.TERM_KEY: self._leadership.term_version})
+                draft.to_change({records.TERM_KEY: self._leadership.term_version})
             )
             if revision is None:
                 break
@@ -260,7 +260,7 @@
             return now_us - self._gathered.setdefault(job.id, now_us) < _GANG_GATHER_US
         if not job.open:
             return False
-        if job.record.done_count + len(outcomes) >= job.spec.tasks or self._writer.ample():
+        if job.record.done_count + len(outcomes) >= job.spec.tasks or self._writer.has_spare_rate():
             return False
         now_us = self._clock.now_us()
         return now_us - self._gathered.setdefault(job.id, now_us) < _GATHER_US
@@ -269,11 +269,11 @@
         outcomes, self._outcomes = self._outcomes, {}
         by_job: dict[str, list[tuple[int, int, Outcome]]] = {}
         for (task, number), outcome in outcomes.items():
-            split = split_task_name(task)
+            split = parse_task_name(task)
             job = self._registry.jobs.get(split[0]) if split is not None else None
             if split is None or job is None or not self._leadership.owns(job.spec.team):
                 continue
-            attempt = job.find(split[1], number)
+            attempt = job.find_attempt(split[1], number)
             if attempt is None or attempt.machine != outcome.machine:
                 continue
             by_job.setdefault(job.id, []).append((split[1], number, outcome))
@@ -286,7 +286,7 @@
         prod_first = sorted(by_job.items(), key=lambda item: self._registry.jobs[item[0]].rank > 0)
         for job_id, found in prod_first:
             job = self._registry.jobs[job_id]
-            full = hurried and len(drafts) >= self._most_settled
+            full = hurried and len(drafts) >= self._max_outcome_jobs
             if full or self._may_wait(job, found) or self._is_too_coarse(job):
                 self._outcomes.update({(o.task, number): o for _, number, o in found})
                 if full:
@@ -295,13 +295,13 @@
             self._gathered.pop(job_id, None)
             draft = drafts.setdefault(job_id, Draft(job, self._limits))
             for index, number, outcome in found:
-                if not draft.settle(index, number, outcome.kind):
+                if not draft.record_outcome(index, number, outcome.kind):
                     # Too many chunks for one commit: the leader will tell us again.
                     continue
                 log.info(
                     "%s attempt %d on %s: %s", outcome.task, number, outcome.machine, outcome.kind
                 )
-                self._failures.learn(job_id, outcome, self._clock.now_us())
+                self._failures.record_outcome(job_id, outcome, self._clock.now_us())
 
     def _hurried(self, ended: Iterable[str]) -> bool:
         """Whether replicas of ours have just ended or wait for a place."""
@@ -316,14 +316,14 @@
     def _place_team(
         self,
         team: Team,
-        rooms: list[Room],
+        rooms: list[FreeCapacity],
         usage: dict[str, Usage],
         zones: dict[str, str],
         drafts: dict[str, Draft],
-        unwritten: dict[str, list[Place]],
+        unwritten: dict[str, list[Assignment]],
         term: int,
     ) -> int:
-        held = self._failures.held(self._clock.now_us())
+        held = self._failures.delayed_jobs(self._clock.now_us())
         own = usage.setdefault(team.name, Usage())
         jobs = [
             job
@@ -335,19 +335,21 @@
             jobs,
             own,
             zones,
-            self._failures.avoided,
+            self._failures.avoided_machines,
             held,
             self._urgency,
             self._clock.wall_us(),
         )
         placed = 0
         # What is placed may take a round as long again, with the most urgent coming first anyway.
-        most = 2 * self._most_settled if self._hurried(()) else 1 << 30
-        while len(drafts) < most and (placing := queue.place_one(rooms)) is not None:
+        most = 2 * self._max_outcome_jobs if self._hurried(()) else 1 << 30
+        while len(drafts) < most and (placing := queue.place_next(rooms)) is not None:
             draft = drafts.get(placing.job.id)
             if draft is None:
                 draft = drafts[placing.job.id] = Draft(placing.job, self._limits)
-            places = [Place(i, room.machine, room.tenure) for i, room in placing.places()]
+            places = [
+                Assignment(i, room.machine, room.session) for i, room in placing.task_capacities()
+            ]
             if placing.job.is_gang:
                 left = draft.place_gang(places, term)
                 if left:
@@ -378,6 +380,6 @@
 
     def _forget(self) -> None:
         jobs = self._registry.jobs
-        self._failures.forget_all_but(jobs)
+        self._failures.retain_only(jobs)
         for job_id in [job_id for job_id in self._gathered if job_id not in jobs]:
             del self._gathered[job_id]
--- a/mosswalk/placement/preemption.py
+++ b/mosswalk/placement/preemption.py
@@ -7,8 +7,8 @@
 from msgspec import Struct, structs
 
 from mosswalk.config import Team
-from mosswalk.jobs.state import Job, Usage, milli_room
-from mosswalk.placement.capacity import Room, ZoneRule, new_zone_rule, zone_rule
+from mosswalk.jobs.state import Job, Usage, milli_floor
+from mosswalk.placement.capacity import FreeCapacity, ZoneRule, new_zone_rule, zone_rule
 from mosswalk.placement.queues import fits_quota
 from mosswalk.store.records import Attempt
 from mosswalk.wire.users import JobSpec
@@ -26,17 +26,20 @@
 
     job: Job
     attempt: Attempt
-    wanted_by: str = ""
+    preempting_job: str = ""
     # Waited long to begin: only prod work may stop it, or it might never get anywhere.
-    shielded: bool = False
+    protected: bool = False
 
 
-def worth_saving(spec: JobSpec) -> bool:
+def should_checkpoint(spec: JobSpec) -> bool:
     """Whether a task that is stopped for more urgent work is to save first.
 
     On average it loses half its interval if it does not, and keeps the room while it saves.
     """
-    return spec.checkpoint_s > 0 and spec.save_s < _SAVING_PART * spec.checkpoint_s / 2
+    return (
+        spec.checkpoint_interval_s > 0
+        and spec.checkpoint_duration_s < _SAVING_PART * spec.checkpoint_interval_s / 2
+    )
 
 
 def may_preempt(
@@ -49,13 +52,13 @@
         return False
     team = teams.get(other.spec.team)
     used = usage.get(other.spec.team, Usage())
-    return team is not None and used.cpus - other.cpus >= milli_room(team.cpus)
+    return team is not None and used.cpus - other.cpus >= milli_floor(team.cpus)
 
 
 class _Made(Struct):
     """Room made for one task: whom to stop there."""
 
-    room: Room
+    room: FreeCapacity
     victims: list[Victim]
 
 
@@ -64,7 +67,7 @@
 
     def __init__(
         self,
-        rooms: Iterable[Room],
+        rooms: Iterable[FreeCapacity],
         running: Mapping[str, list[Victim]],
         teams: Mapping[str, Team],
         usage: Mapping[str, Usage],
@@ -102,7 +105,7 @@
             if picked is None:
                 continue
             key = (
-                sum(1 for v in picked if v.job.spec.checkpoint_s <= 0),
+                sum(1 for v in picked if v.job.spec.checkpoint_interval_s <= 0),
                 len(picked),
                 -max((v.job.rank for v in picked), default=3),
             )
@@ -128,25 +131,25 @@
     def _apply(self, job: Job, made: _Made) -> None:
         machine = made.room.machine
         for victim in made.victims:
-            made.room.take(victim.job, -1)
+            made.room.allocate(victim.job, -1)
             self._left[machine].remove(victim)
             self._free(machine, victim.job, -1)
             self.usage(victim.job.spec.team).add(victim.job, -1)
-            self.chosen.append(structs.replace(victim, wanted_by=job.id))
-        made.room.take(job)
+            self.chosen.append(structs.replace(victim, preempting_job=job.id))
+        made.room.allocate(job)
         self.usage(job.spec.team).add(job)
 
     def undo(self, job: Job, made: _Made) -> None:
         """Take back the last choice."""
         machine = made.room.machine
         self.usage(job.spec.team).add(job, -1)
-        made.room.take(job, -1)
+        made.room.allocate(job, -1)
         for victim in made.victims:
             self.chosen.pop()
             self.usage(victim.job.spec.team).add(victim.job)
             self._free(machine, victim.job, 1)
             self._left[machine].append(victim)
-            made.room.take(victim.job)
+            made.room.allocate(victim.job)
         if made.victims:
             self._left[machine].sort(key=_order)
 
@@ -156,17 +159,17 @@
 
 
 def _order(victim: Victim) -> tuple[int, bool, int]:
-    return (-victim.job.rank, victim.job.spec.checkpoint_s <= 0, -victim.attempt.number)
+    return (-victim.job.rank, victim.job.spec.checkpoint_interval_s <= 0, -victim.attempt.number)
 
 
 def choose_victims(
     stuck: Iterable[tuple[Job, int]],
-    rooms: Iterable[Room],
+    rooms: Iterable[FreeCapacity],
     running: Mapping[str, list[Victim]],
     teams: Mapping[str, Team],
     usage: Mapping[str, Usage],
     zone_of: dict[str, str],
-    most: int,
+    max_victims: int,
 ) -> list[Victim]:
     """Victims for tasks that found no room.
 
@@ -179,16 +182,16 @@
         if team is None or rule is None:
             continue
         if job.is_gang:
-            if len(choice.chosen) < most and choice.looks >= job.spec.tasks:
+            if len(choice.chosen) < max_victims and choice.looks >= job.spec.tasks:
                 _make_room_for_gang(choice, job, team)
             continue
         own = choice.usage(job.spec.team)
         for _ in range(count):
-            if len(choice.chosen) >= most or choice.looks <= 0:
+            if len(choice.chosen) >= max_victims or choice.looks <= 0:
                 break
-            if not fits_quota(team, own, job, limit=True):
+            if not fits_quota(team, own, job, against_limit=True):
                 break
-            if choice.make_room(job, rule, fits_quota(team, own, job, limit=False)) is None:
+            if choice.make_room(job, rule, fits_quota(team, own, job, against_limit=False)) is None:
                 break
     return choice.chosen
 
@@ -196,9 +199,9 @@
 def _make_room_for_gang(choice: _Choice, job: Job, team: Team) -> None:
     """Choose whom to stop for a whole gang; nobody if that would not make room for all of it."""
     own = choice.usage(job.spec.team)
-    if not fits_quota(team, own, job, limit=True):
+    if not fits_quota(team, own, job, against_limit=True):
         return
-    guaranteed = fits_quota(team, own, job, limit=False)
+    guaranteed = fits_quota(team, own, job, against_limit=False)
     rule = new_zone_rule(job.spec)
     made: list[_Made] = []
     while len(made) < job.spec.tasks:
@@ -212,7 +215,7 @@
 
 def _fewest(
     job: Job,
-    room: Room,
+    room: FreeCapacity,
     victims: list[Victim],
     guaranteed: bool,
     teams: Mapping[str, Team],
@@ -223,7 +226,7 @@
     picked: list[Victim] = []
     for victim in (None, *victims):
         if victim is not None:
-            if victim.shielded and job.rank > 0:
+            if victim.protected and job.rank > 0:
                 continue
             if not may_preempt(job, victim.job, guaranteed, teams, usage):
                 continue
--- a/mosswalk/placement/queues.py
+++ b/mosswalk/placement/queues.py
@@ -8,9 +8,9 @@
 
 from mosswalk.actors import to_us
 from mosswalk.config import Objective, Team
-from mosswalk.jobs.state import Job, Usage, milli_room
-from mosswalk.placement.capacity import Room, ZoneRule, best_room, zone_rule
-from mosswalk.placement.gangs import rooms_for_gang
+from mosswalk.jobs.state import Job, Usage, milli_floor
+from mosswalk.placement.capacity import FreeCapacity, ZoneRule, best_capacity, zone_rule
+from mosswalk.placement.gangs import capacities_for_gang
 
 _UNTIMED_US = 600_000_000
 _MOMENT_US = 200_000
@@ -28,15 +28,15 @@
 def overdue(job: Job, wall_us: int) -> bool:
     """Whether a job has waited so long to begin that others must make way."""
     begun = job.record.live_count > 0 or job.record.done_count > 0
-    return not begun and wall_us - job.record.submitted_us > OVERDUE_US
+    return not begun and wall_us - job.record.submitted_at_us > OVERDUE_US
 
 
-def shielded(job: Job, wall_us: int) -> bool:
+def is_protected(job: Job, wall_us: int) -> bool:
     """Whether a job is so old that only prod work may stop its tasks."""
-    return wall_us - job.record.submitted_us > OVERDUE_US
+    return wall_us - job.record.submitted_at_us > OVERDUE_US
 
 
-class Urgency:
+class QueueOrder:
     """The order of a team's queue: priority first, then what can still be in time.
 
     A job that can't meet any of its times any more gives way to those that can: serving it first
@@ -45,7 +45,7 @@
     """
 
     def __init__(self, objectives: Iterable[Objective], teams: Iterable[Team] = ()) -> None:
-        self._limits = {team.name: milli_room(team.cpus_max) for team in teams}
+        self._limits = {team.name: milli_floor(team.cpus_max) for team in teams}
         self._within_us: dict[tuple[str, str], list[int]] = {}
         for aim in objectives:
             if aim.job_class is not None and aim.within_s is not None:
@@ -61,28 +61,28 @@
             waves = max(1.0, left / max(1, limit // job.cpus))
         return wall_us + to_us(job.spec.estimate_s * waves)
 
-    def target_us(self, job: Job, wall_us: int) -> int | None:
+    def target_at_us(self, job: Job, wall_us: int) -> int | None:
         """The first of its times that the job can still meet."""
-        submitted_us, name = job.record.submitted_us, job.spec.job_class
+        submitted_us, name = job.record.submitted_at_us, job.spec.job_class
         ready_us = self._ready_us(job, wall_us)
         times = [submitted_us + w for w in self._within_us.get(("finished", name), ())]
         if job.spec.deadline_s is not None:
-            times.append(job.due_us())
+            times.append(job.deadline_at_us())
         ends = [t for t in times if t >= ready_us]
         begins = [submitted_us + w for w in self._within_us.get(("wait", name), ())]
         return min((*ends, *(t for t in begins if t >= wall_us)), default=None)
 
-    def key(self, job: Job, wall_us: int) -> tuple[int, bool, int, int, str]:
+    def sort_key(self, job: Job, wall_us: int) -> tuple[int, bool, int, int, str]:
         """Sorts a team's jobs; the same for a moment, as plans are made many times a second."""
         moment = wall_us // _MOMENT_US
-        known = job.place_in_queue
+        known = job.cached_queue_key
         if known is None or known[0] is not self or known[1] != moment:
-            known = job.place_in_queue = (self, moment, self._key(job, wall_us))
+            known = job.cached_queue_key = (self, moment, self._key(job, wall_us))
         return known[2]
 
     def _key(self, job: Job, wall_us: int) -> tuple[int, bool, int, int, str]:
-        submitted_us = job.record.submitted_us
-        target_us = self.target_us(job, wall_us)
+        submitted_us = job.record.submitted_at_us
+        target_us = self.target_at_us(job, wall_us)
         name = job.spec.job_class
         timed = job.spec.deadline_s is not None or any(
             (kind, name) in self._within_us for kind in ("finished", "wait")
@@ -105,52 +105,52 @@
         return (rank, late, target_us, submitted_us, job.id)
 
 
-def fits_quota(team: Team, usage: Usage, job: Job, *, limit: bool) -> bool:
+def fits_quota(team: Team, usage: Usage, job: Job, *, against_limit: bool) -> bool:
     """Whether one more task, or a whole gang, keeps the team within its limit or guarantee."""
-    cpus, gpus = (team.cpus_max, team.gpus_max) if limit else (team.cpus, team.gpus)
-    cpus_after = usage.cpus + job.cpus * job.together
-    gpus_after = usage.gpus + job.gpus * job.together
-    if limit:
-        return (cpus <= 0 or cpus_after <= milli_room(cpus)) and (
-            gpus <= 0 or gpus_after <= milli_room(gpus)
+    cpus, gpus = (team.cpus_max, team.gpus_max) if against_limit else (team.cpus, team.gpus)
+    cpus_after = usage.cpus + job.cpus * job.gang_size
+    gpus_after = usage.gpus + job.gpus * job.gang_size
+    if against_limit:
+        return (cpus <= 0 or cpus_after <= milli_floor(cpus)) and (
+            gpus <= 0 or gpus_after <= milli_floor(gpus)
         )
     return (
         cpus > 0
-        and cpus_after <= milli_room(cpus)
-        and (job.gpus == 0 or gpus_after <= milli_room(gpus))
+        and cpus_after <= milli_floor(cpus)
+        and (job.gpus == 0 or gpus_after <= milli_floor(gpus))
     )
 
 
-def most_within(team: Team, usage: Usage, job: Job, count: int) -> int:
+def max_tasks_within_limit(team: Team, usage: Usage, job: Job, count: int) -> int:
     """How many more of the job's tasks the team's limit lets run."""
     if team.cpus_max > 0 and job.cpus > 0:
-        count = min(count, (milli_room(team.cpus_max) - usage.cpus) // job.cpus)
+        count = min(count, (milli_floor(team.cpus_max) - usage.cpus) // job.cpus)
     if team.gpus_max > 0 and job.gpus > 0:
-        count = min(count, (milli_room(team.gpus_max) - usage.gpus) // job.gpus)
-    return max(0, count) if count >= job.together else 0
+        count = min(count, (milli_floor(team.gpus_max) - usage.gpus) // job.gpus)
+    return max(0, count) if count >= job.gang_size else 0
 
 
-class Placing(Struct):
+class Placement(Struct):
     """One task put on one machine."""
 
     job: Job
     index: int
-    room: Room
+    capacity: FreeCapacity
 
-    def places(self) -> list[tuple[int, Room]]:
+    def task_capacities(self) -> list[tuple[int, FreeCapacity]]:
         """Each task with its room."""
-        return [(self.index, self.room)]
+        return [(self.index, self.capacity)]
 
 
-class GangPlacing(Struct):
+class GangPlacement(Struct):
     """All tasks of a gang, each put on a machine."""
 
     job: Job
-    rooms: list[Room]
+    capacities: list[FreeCapacity]
 
-    def places(self) -> list[tuple[int, Room]]:
+    def task_capacities(self) -> list[tuple[int, FreeCapacity]]:
         """Each task with its room."""
-        return list(enumerate(self.rooms))
+        return list(enumerate(self.capacities))
 
 
 class TeamQueue:
@@ -164,7 +164,7 @@
         zone_of: dict[str, str],
         avoid: Mapping[str, set[str]],
         held: Mapping[str, object],
-        urgency: Urgency,
+        urgency: QueueOrder,
         wall_us: int,
     ) -> None:
         self.team = team
@@ -174,16 +174,16 @@
         self._wall_us = wall_us
         self._jobs = sorted(
             (j for j in jobs if j.open and j.pending_count() > 0 and j.id not in held),
-            key=lambda job: urgency.key(job, wall_us),
+            key=lambda job: urgency.sort_key(job, wall_us),
         )
         self._at = 0
         self._pending: Iterator[int] | None = None
         self._next: int | None = None
         self._rule: ZoneRule | None = None
         # Where the head's last task went: while it holds the next one too, it is still best.
-        self._last: Room | None = None
+        self._last: FreeCapacity | None = None
         # Jobs whose next task found no room, for the factory and for preemption.
-        self.stuck: list[Job] = []
+        self.unschedulable: list[Job] = []
 
     def head(self) -> Job | None:
         """The job whose task comes next."""
@@ -193,7 +193,7 @@
         """Whether others must make way for a job."""
         return overdue(job, self._wall_us)
 
-    def least(self) -> tuple[int, int] | None:
+    def min_request(self) -> tuple[int, int] | None:
         """The least cores and memory that any task of the queue asks for."""
         if not self._jobs:
             return None
@@ -203,30 +203,30 @@
         self._at += 1
         self._pending = self._rule = self._last = None
 
-    def _find(self, job: Job, rooms: Iterable[Room], rule: ZoneRule) -> Room | None:
+    def _find(self, job: Job, rooms: Iterable[FreeCapacity], rule: ZoneRule) -> FreeCapacity | None:
         last = self._last
-        if last is not None and last.holds(job):
+        if last is not None and last.fits(job):
             return last
-        found = best_room(job, rooms, rule, self._avoid.get(job.id, set()))
+        found = best_capacity(job, rooms, rule, self._avoid.get(job.id, set()))
         # Its image is at hand there now and the fit is tighter, so nothing beats it. Replicas
         # and zone-bound tasks are looked at one by one.
         plain = job.spec.kind == "array" and not job.spec.spread and not job.spec.one_zone
         self._last = found if plain else None
         return found
 
-    def _place_gang(self, job: Job, rooms: list[Room]) -> GangPlacing | None:
-        found = rooms_for_gang(job, rooms, self._avoid.get(job.id, set()))
+    def _place_gang(self, job: Job, rooms: list[FreeCapacity]) -> GangPlacement | None:
+        found = capacities_for_gang(job, rooms, self._avoid.get(job.id, set()))
         if found is None:
             return None
         for room in found:
-            room.take(job)
+            room.allocate(job)
             self.usage.add(job)
-        return GangPlacing(job, found)
+        return GangPlacement(job, found)
 
-    def place_one(self, rooms: list[Room]) -> Placing | GangPlacing | None:
+    def place_next(self, rooms: list[FreeCapacity]) -> Placement | GangPlacement | None:
         """Place the next task or gang that fits, taking its room; None when none does."""
         while (job := self.head()) is not None:
-            if not fits_quota(self.team, self.usage, job, limit=True):
+            if not fits_quota(self.team, self.usage, job, against_limit=True):
                 # Held back by the limit, not by room: no reason to rent or preempt.
                 if self.is_overdue(job):
                     # Smaller tasks would take each bit of the limit that comes free.
@@ -237,7 +237,7 @@
             if job.is_gang:
                 gang = self._place_gang(job, rooms)
                 if gang is None:
-                    self.stuck.append(job)
+                    self.unschedulable.append(job)
                 self._skip()
                 if gang is None:
                     continue
@@ -253,19 +253,19 @@
                 continue
             room = self._find(job, rooms, self._rule)
             if room is None:
-                self.stuck.append(job)
+                self.unschedulable.append(job)
                 self._skip()
                 continue
             if self._pending is None:
                 # Only now: most jobs that wait find no room, and this walks their tasks.
-                self._pending = job.pending()
+                self._pending = job.pending_tasks()
                 self._next = next(self._pending, None)
                 if self._next is None:
                     self._skip()
                     continue
             assert self._next is not None
-            placing = Placing(job, self._next, room)
-            room.take(job)
+            placing = Placement(job, self._next, room)
+            room.allocate(job)
             self._rule.add(room.zone)
             self.usage.add(job)
             self._next = next(self._pending, None)
@@ -279,7 +279,7 @@
     assert head is not None
     if queue.is_overdue(head):
         return (-1, head.rank, queue.usage.cpus / share, queue.team.name)
-    guaranteed = fits_quota(queue.team, queue.usage, head, limit=False)
+    guaranteed = fits_quota(queue.team, queue.usage, head, against_limit=False)
     return (
         0 if guaranteed or head.rank == 0 else 1,
         head.rank,
@@ -288,19 +288,19 @@
     )
 
 
-def serve_in_turn(
-    queues: Iterable[TeamQueue], rooms: list[Room], shares: Mapping[str, float]
-) -> Iterator[Placing | GangPlacing]:
+def place_across_teams(
+    queues: Iterable[TeamQueue], rooms: list[FreeCapacity], shares: Mapping[str, float]
+) -> Iterator[Placement | GangPlacement]:
     """Give one placing at a time to the team whose turn it is."""
     waiting = [queue for queue in queues if queue.head() is not None]
-    needs = [need for queue in waiting if (need := queue.least()) is not None]
+    needs = [need for queue in waiting if (need := queue.min_request()) is not None]
     if needs:
         # When there is more work than room, nearly all rooms are full.
         cpus, memory = min(n[0] for n in needs), min(n[1] for n in needs)
         rooms = [r for r in rooms if r.cpus >= cpus and r.memory >= memory]
     while waiting:
         queue = min(waiting, key=lambda q: turn_key(q, shares.get(q.team.name, 1.0)))
-        placing = queue.place_one(rooms)
+        placing = queue.place_next(rooms)
         if placing is not None:
             yield placing
         waiting = [q for q in waiting if q.head() is not None and (q is not queue or placing)]
--- a/mosswalk/service.py
+++ b/mosswalk/service.py
@@ -19,7 +19,7 @@
 from mosswalk.cloud.client import CloudClient
 from mosswalk.config import Settings, split_address
 from mosswalk.config.detection import DetectionTuning
-from mosswalk.config.sockets import sockets
+from mosswalk.config.sockets import socket_budget
 from mosswalk.fleet.manager import FleetManager
 from mosswalk.jobs.registry import JobRegistry
 from mosswalk.leadership.actor import Leadership
@@ -93,9 +93,9 @@
             clock,
             rng,
             params.cloud.rps,
-            self.manager.tell,
-            self.leadership.may_start,
-            self.leadership.may_answer,
+            self.manager.send,
+            self.leadership.may_start_tasks,
+            self.leadership.may_renew_worker_leases,
         )
         self.manager.cloud = self.cloud
         self.job_service = JobService(
@@ -104,7 +104,7 @@
         self.health = Health(
             [peer.host_name for peer in settings.known],
             self.peers,
-            lambda: self.mirror.confirmed_us,
+            lambda: self.mirror.confirmed_until_us,
             clock,
             self.leadership.leads,
             self._note_unreachable,
@@ -114,7 +114,7 @@
         tuning = settings.tuning.detection
         if tuning is not None:
             self.detector = self._detector(tuning, clock, rng)
-        self.job_service.elsewhere = self._poll_elsewhere
+        self.job_service.poll_other_controller = self._poll_elsewhere
         self.job_service.gangs_allowed = self.leadership.gangs_allowed
         self.withdrawal_broadcast = WithdrawalBroadcast(
             [peer.host_name for peer in settings.known],
@@ -123,18 +123,22 @@
             clock,
             rng,
         )
-        self.job_service.on_withdrawn = self.withdrawal_broadcast.tell
+        self.job_service.on_withdrawn = self.withdrawal_broadcast.enqueue
         follower_reports = self.manager.follower_reports
-        follower_reports.left_alone = lambda: self.health.left_alone_by(self.leadership.leader())
-        follower_reports.nobody_served = self.health.nobody_served
+        follower_reports.no_leader_reachable = lambda: self.health.cannot_reach_leader(
+            self.leadership.leader()
+        )
+        follower_reports.no_peer_reaches_state_service = self.health.state_service_unavailable
         # Followers need not hear of each change at once: with many controllers, their watches
         # would take most of the requests that the state service allows.
-        self.mirror.in_haste = lambda: self.leadership.leads() or self.leadership.owns_any()
+        self.mirror.wants_prompt_updates = lambda: (
+            self.leadership.leads() or self.leadership.owns_any_team()
+        )
         self.metrics = Metrics(self)
 
     def healthy(self) -> bool:
         """Whether users' requests can be taken here."""
-        return self.mirror.loaded and not self.health.alone
+        return self.mirror.loaded and not self.health.isolated
 
     def _detector(self, tuning: DetectionTuning, clock: Clock, rng: random.Random) -> Detector:
         # Imported here: without it, it must cost nothing.
@@ -146,39 +150,42 @@
             self.settings, tuning, self.leadership, fence, self.peers, self.client, clock, rng
         )
         self.leadership.authority = fence
-        self.leadership.suspicions = detector
+        self.leadership.failure_detector = detector
         self.writer.gate = self.users_writer.gate = CommitGate(fence, self.mirror)
         return detector
 
     def _note_unreachable(self, nodes: frozenset[str]) -> None:
         """Two failed tries of the leader are a verdict only where no failure detector gives one."""
-        if self.detector is None or not self.detector.in_force():
+        if self.detector is None or not self.detector.is_active():
             self.leadership.note_unreachable(nodes)
 
     def peer_status(self, heartbeat: Heartbeat | None) -> PeerStatus:
         """What this controller sees, for another one that asks."""
-        fresh, strays = self.health.fresh(), self.manager.follower_reports.recent_workers.count()
+        fresh, strays = (
+            self.health.is_served(),
+            self.manager.follower_reports.recent_workers.count(),
+        )
         answer = None
         if heartbeat is not None and self.detector is not None:
-            answer = self.detector.arrived(heartbeat)
+            answer = self.detector.handle_heartbeat(heartbeat)
         return PeerStatus(fresh, strays, UNSET if answer is None else answer)
 
-    def withdrawn_elsewhere(self, message: Withdrawals) -> None:
+    def apply_peer_withdrawals(self, message: Withdrawals) -> None:
         """Another controller has told users of withdrawals: put them into the mirror.
 
         What they bring is committed, so the watch will show the same or something newer.
         """
         for withdrawal in message.withdrawals:
             key = records.job_key(withdrawal.job)
-            self.mirror.apply_read(key, withdrawal.record, withdrawal.revision)
-        self.mirror.batch_done()
+            self.mirror.apply_response(key, withdrawal.record, withdrawal.revision)
+        self.mirror.notify_batch_applied()
 
     def _visitors_elsewhere(self, count: int) -> None:
-        if self.manager.cut_from_workers(count):
+        if self.manager.is_unreachable_for_workers(count):
             self.leadership.hand_over()
 
     async def _poll_elsewhere(self, job_id: str) -> PollAnswer | None:
-        node = self.health.served
+        node = self.health.served_peer
         if node is None:
             return None
         try:
@@ -187,26 +194,26 @@
             log.debug("poll not asked of %s: %s", node, error)
             return None
 
-    def apps(self) -> tuple[web.Application, web.Application]:
+    def web_apps(self) -> tuple[web.Application, web.Application]:
         """The applications for users and workers, and for other controllers."""
         detector = self.detector
         users = users_app(
             self.job_service,
-            self.manager.report,
+            self.manager.answer_report,
             self.healthy,
             self.metrics.render,
             detector.view if detector is not None else None,
         )
         return users, peer_app(
-            self.owner.offer,
-            self.owner.outcomes,
+            self.owner.receive_offer,
+            self.owner.receive_outcomes,
             self.peer_status,
-            self.job_service.poll_for_other,
-            self.withdrawn_elsewhere,
+            self.job_service.poll_for_peer,
+            self.apply_peer_withdrawals,
             detector.probe if detector is not None else None,
         )
 
-    def work(self) -> list[Coroutine[Any, Any, None]]:
+    def background_loops(self) -> list[Coroutine[Any, Any, None]]:
         """All that runs for ever.
 
         The writers alone are not begun again when they fail: commits under way would be
@@ -270,14 +277,14 @@
 
 async def serve(settings: Settings) -> None:
     """Run a controller until it is killed."""
-    budget = sockets(settings.params.machine_limits.max_connections)
-    async with _session(budget.calls) as session, _session(budget.orders) as orders:
+    budget = socket_budget(settings.params.machine_limits.max_connections)
+    async with _session(budget.calls) as session, _session(budget.commands) as orders:
         controller = Controller(settings, session, orders, SystemClock(), random.Random())
-        users, peers = controller.apps()
+        users, peers = controller.web_apps()
         most = settings.params.machine_limits.max_connections
         await listen(users, settings.serve_on, most)
         await listen(peers, settings.cluster_listen, most)
         controller.start_lease_renewer()
         log.info("%s serves on %s", settings.host_name, settings.serve_on)
         # None of these ever returns.
-        await asyncio.gather(*controller.work())
+        await asyncio.gather(*controller.background_loops())
--- a/mosswalk/store/client.py
+++ b/mosswalk/store/client.py
@@ -81,7 +81,7 @@
     async def _call(
         self, method: str, path: str, body: bytes | None = None, timeout_s: float = 2.0
     ) -> tuple[int, bytes]:
-        wait_us = self._bucket.wait_us(self._clock.now_us())
+        wait_us = self._bucket.reserve_us(self._clock.now_us())
         if wait_us > 0:
             await asyncio.sleep(to_s(wait_us))
         try:
--- a/mosswalk/store/mirror.py
+++ b/mosswalk/store/mirror.py
@@ -59,15 +59,15 @@
         self.revision = 0
         self.loaded = False
         # Whether changes are wanted at once.
-        self.in_haste: Callable[[], bool] = lambda: True
+        self.wants_prompt_updates: Callable[[], bool] = lambda: True
         # Everything committed before this instant is in the copy.
-        self.confirmed_us = 0
+        self.confirmed_until_us = 0
 
     def listen(self, prefix: str, listener: Listener) -> None:
         """Call ``listener(key, value, version)`` for each change below a prefix."""
         self._listeners.append((prefix, listener))
 
-    def after_batch(self, action: Callable[[], None]) -> None:
+    def on_batch_applied(self, action: Callable[[], None]) -> None:
         """Call ``action`` once a batch of changes is in."""
         self._after_batch.append(action)
 
@@ -104,7 +104,7 @@
                     log.exception("mirror: a listener failed on %s", key)
         return True
 
-    def apply_read(self, key: str, value: bytes | None, version: int) -> None:
+    def apply_response(self, key: str, value: bytes | None, version: int) -> None:
         """Put in what a commit's or a read's answer told.
 
         The watch may have passed that revision already, and a later deletion with it: then the
@@ -116,12 +116,12 @@
     def apply_change(self, change: Change, revision: int) -> None:
         """Put in a change that has been committed."""
         for key, value in change.puts.items():
-            if key.startswith(records.MIRROR):
-                self.apply_read(key, bytes(value), revision)
+            if key.startswith(records.MIRROR_PREFIX):
+                self.apply_response(key, bytes(value), revision)
         for key in change.deletes:
-            self.apply_read(key, None, revision)
+            self.apply_response(key, None, revision)
 
-    def batch_done(self) -> None:
+    def notify_batch_applied(self) -> None:
         """Tell those who wait for whole batches."""
         for action in self._after_batch:
             action()
@@ -131,19 +131,19 @@
         for key in keys:
             row = await self._client.get(key)
             if row is not None:
-                self.apply_read(key, bytes(row.value), row.version)
-        self.batch_done()
+                self.apply_response(key, bytes(row.value), row.version)
+        self.notify_batch_applied()
 
-    async def read_now(self, keys: tuple[str, ...]) -> None:
+    async def read_latest(self, keys: tuple[str, ...]) -> None:
         """Read keys as they are now, deleted ones too, without waiting for the watch."""
         for key in keys:
             page = await self._client.read_range(key, None, 1)
             row = next((row for row in page.rows if row.key == key), None)
             if row is not None:
-                self.apply_read(key, bytes(row.value), row.version)
+                self.apply_response(key, bytes(row.value), row.version)
             elif self.version(key):
-                self.apply_read(key, None, page.revision)
-        self.batch_done()
+                self.apply_response(key, None, page.revision)
+        self.notify_batch_applied()
 
     async def _load(self) -> None:
         after: str | None = None
@@ -151,7 +151,7 @@
         seen: set[str] = set()
         started_us = self._clock.now_us()
         while True:
-            page = await self._client.read_range(records.MIRROR, after)
+            page = await self._client.read_range(records.MIRROR_PREFIX, after)
             # Later pages may be newer than the first: the watch starts at the first one's
             # revision and versions sort out what comes twice.
             revision = revision or page.revision
@@ -161,18 +161,18 @@
             if not page.truncated or not page.rows:
                 break
             after = page.rows[-1].key
-        for key in self.keys(records.MIRROR):
+        for key in self.keys(records.MIRROR_PREFIX):
             if key not in seen and self._entries[key].version <= revision:
                 self.apply(key, None, revision)
         self.revision = revision
-        self.confirmed_us = started_us
+        self.confirmed_until_us = started_us
         self.loaded = True
         log.info("mirror loaded at revision %d: %d keys", revision, len(seen))
-        self.batch_done()
+        self.notify_batch_applied()
 
     async def _follow(self) -> None:
         started_us = self._clock.now_us()
-        events = await self._client.watch(records.MIRROR, self.revision, _HOLD_MS)
+        events = await self._client.watch(records.MIRROR_PREFIX, self.revision, _HOLD_MS)
         # Of several changes to a key only the last one matters, and decoding is what costs.
         last = {event.key or event.delete: event for event in events.events}
         for event in last.values():
@@ -181,12 +181,12 @@
             elif event.delete is not None:
                 self.apply(event.delete, None, event.version)
         self.revision = max(self.revision, events.revision)
-        self.confirmed_us = started_us
+        self.confirmed_until_us = started_us
         # Deletions the watch has passed can't be undone by an older event any more.
         for key in [k for k in self._deleted if self._entries[k].version <= self.revision]:
             del self._entries[key]
             self._deleted.discard(key)
-        self.batch_done()
+        self.notify_batch_applied()
 
     async def run(self) -> None:
         """Load and follow for ever."""
@@ -197,7 +197,9 @@
                     await self._load()
                 else:
                     await self._follow()
-                    await asyncio.sleep(_GATHER_S if self.in_haste() else _CALM_GATHER_S)
+                    await asyncio.sleep(
+                        _GATHER_S if self.wants_prompt_updates() else _CALM_GATHER_S
+                    )
                 if failing_since_us is not None:
                     lasted_us = self._clock.now_us() - failing_since_us
                     log.info("mirror: state service back after %.1f s", lasted_us / SECOND_US)
--- a/mosswalk/store/records.py
+++ b/mosswalk/store/records.py
@@ -24,12 +24,12 @@
 # What a controller can do: the first version knows no gangs and no other layout of tasks.
 FIRST_VERSION = 1
 GANG_VERSION = 2
-OUR_VERSION = GANG_VERSION
+CURRENT_VERSION = GANG_VERSION
 
-MIRROR = "m/"
+MIRROR_PREFIX = "m/"
 TERM_KEY = "m/term"
 LEADER_KEY = "m/lead"
-TYPES_KEY = "m/types"
+MACHINE_TYPES_KEY = "m/types"
 NODE_PREFIX = "m/n/"
 JOB_PREFIX = "m/j/"
 CHUNK_PREFIX = "m/c/"
@@ -37,14 +37,14 @@
 
 # A live attempt's row takes this many bytes where machines' names are short, and a header this
 # many besides its tasks and the job as it was submitted.
-LONGEST_USUAL_ROW = 44
+TYPICAL_MAX_ROW_BYTES = 44
 _HEADER_BYTES = 320
 _MOST_IN_CHUNK = 256
 # What a row takes besides the machine's name.
 _ROW_FRAME_BYTES = 34
 
 
-def row_bytes(machine: str) -> int:
+def max_row_bytes(machine: str) -> int:
     """The most that an attempt on a machine takes in a record."""
     return _ROW_FRAME_BYTES + len(machine.encode())
 
@@ -56,15 +56,15 @@
     txn_ops: int
 
 
-def header_bytes(spec: JobSpec) -> int:
+def max_header_bytes(spec: JobSpec) -> int:
     """The most that a job's header takes besides its tasks."""
     return _HEADER_BYTES + len(encode(spec))
 
 
 def chunk_size(limits: RecordLimits, spec: JobSpec) -> int:
     """How many tasks of a job fit a record, all of them live."""
-    room = limits.value_bytes - header_bytes(spec)
-    return max(1, min(_MOST_IN_CHUNK, room // LONGEST_USUAL_ROW))
+    room = limits.value_bytes - max_header_bytes(spec)
+    return max(1, min(_MOST_IN_CHUNK, room // TYPICAL_MAX_ROW_BYTES))
 
 
 def job_key(job_id: str) -> str:
@@ -104,7 +104,7 @@
     task: int
     number: int
     machine: str
-    tenure: int
+    session: int
     term: int
 
 
@@ -128,29 +128,29 @@
     """A job's header with its first tasks."""
 
     spec: JobSpec = field(name="s")
-    submitted_us: int = field(name="t")
+    submitted_at_us: int = field(name="t")
     # How many tasks a record holds. A job that was split has its number under another name: a
     # controller of the first version would write the header back without its layout, so it must
     # not be able to read it.
-    first_chunk: int = field(name="c", default=0)
+    initial_chunk_size: int = field(name="c", default=0)
     phase: Literal["open", "withdrawn"] = field(name="p", default="open")
     next_attempt: int = field(name="n", default=1)
     done_count: int = field(name="k", default=0)
     live_count: int = field(name="r", default=0)
     # When it was withdrawn, by the time of day of the controller that did it.
-    withdrawn_us: int = field(name="w", default=0)
+    withdrawn_at_us: int = field(name="w", default=0)
     tasks: TaskChunk = field(name="x", default=TaskChunk())
     # Which chunks are the job's: a job that is split anew gets chunks under new keys, named by
     # the header's version they were made from, and the header then names them.
     layout: int = field(name="l", default=0)
-    split_chunk: int = field(name="cs", default=0)
+    split_chunk_size: int = field(name="cs", default=0)
     # How far the current attempt of a gang has come; empty for other jobs.
-    gang: GangPhase = field(name="g", default="")
+    gang_phase: GangPhase = field(name="g", default="")
 
     @property
-    def chunk(self) -> int:
+    def chunk_size(self) -> int:
         """How many tasks a record holds."""
-        return self.split_chunk or self.first_chunk
+        return self.split_chunk_size or self.initial_chunk_size
 
     def completed(self) -> bool:
         """Whether all its tasks are done, though some may not have been reported gone."""
@@ -223,7 +223,7 @@
 decode_chunk = msgspec.json.Decoder(TaskChunk).decode
 decode_final = msgspec.json.Decoder(FinalRecord).decode
 _decode_stored_term = msgspec.json.Decoder(_StoredTerm).decode
-decode_types = msgspec.json.Decoder(tuple[MachineType, ...]).decode
+decode_machine_types = msgspec.json.Decoder(tuple[MachineType, ...]).decode
 decode_presence = msgspec.json.Decoder(Presence).decode
 
 
--- a/mosswalk/store/throttle.py
+++ b/mosswalk/store/throttle.py
@@ -19,7 +19,7 @@
         self._refused_us = 0
         self._used_us = 0
 
-    def refused(self, now_us: int) -> None:
+    def note_refusal(self, now_us: int) -> None:
         """The service has answered 429."""
         if self._factor < 1.0 and now_us - self._refused_us < _SETTLE_US:
             return
@@ -31,7 +31,7 @@
         recovered = (now_us - self._refused_us) / SECOND_US * _RECOVERY_A_SECOND
         return min(1.0, self._factor + recovered)
 
-    def changed(self, now_us: int) -> bool:
+    def poll_increase(self, now_us: int) -> bool:
         """Whether the part has grown since it was last asked, a second ago at least."""
         if self._factor >= 1.0 or now_us - self._used_us < SECOND_US:
             return False
--- a/mosswalk/store/writer.py
+++ b/mosswalk/store/writer.py
@@ -54,13 +54,13 @@
     puts: dict[str, Raw]
     deletes: tuple[str, ...] = ()
     # Turned down at once when the service refuses, instead of tried again.
-    impatient: bool = False
+    fail_fast: bool = False
 
-    def size(self) -> int:
+    def write_count(self) -> int:
         """How many writes it takes."""
         return len(self.puts) + len(self.deletes)
 
-    def bytes(self) -> int:
+    def estimated_bytes(self) -> int:
         """Roughly how much room it takes in a transaction."""
         return sum(len(bytes(v)) + len(k) + 40 for k, v in self.puts.items()) + 60 * (
             len(self.guards) + len(self.deletes)
@@ -97,14 +97,14 @@
 
     async def commit(self, change: Change) -> int:
         """The revision of the change; ConflictError, RefusedError or UnknownOutcomeError."""
-        if change.size() > self._ops:
-            raise ValueError(f"a change of {change.size()} writes can't be one transaction")
+        if change.write_count() > self._ops:
+            raise ValueError(f"a change of {change.write_count()} writes can't be one transaction")
         future: asyncio.Future[int] = asyncio.get_running_loop().create_future()
         self._queue.append(_Waiting(change, future))
         self._wake.set()
         return await future
 
-    def share(self, part: float) -> None:
+    def set_rate_share(self, part: float) -> None:
         """Use this part of the writes: the service counts all controllers' together."""
         if part != self._part:
             self._part = part
@@ -115,15 +115,15 @@
         rate = self._write_rps * self._part * self._throttle.factor(now_us)
         self._bucket.change_rate(rate, now_us)
 
-    def ample(self) -> bool:
+    def has_spare_rate(self) -> bool:
         """Whether a write now would keep nobody waiting."""
         return not self._queue and self._bucket.available(self._clock.now_us()) > self._burst / 2
 
-    def wait_s(self) -> float:
+    def estimated_wait_s(self) -> float:
         """How long a change of one write that comes now would wait for its turn, roughly."""
         return len(self._queue) / (self._write_rps * self._part)
 
-    def backlog(self) -> int:
+    def queue_length(self) -> int:
         """How many changes wait for their turn."""
         return len(self._queue)
 
@@ -139,8 +139,8 @@
                 continue
             keys = {*change.puts, *change.deletes}
             clash = touched & keys or any(guards.get(k, v) != v for k, v in change.guards.items())
-            ops += change.size()
-            size += change.bytes()
+            ops += change.write_count()
+            size += change.estimated_bytes()
             if group and (ops > self._ops or size > _MAX_BYTES or clash):
                 break
             if group and (self._queue[0].alone or group[0].alone):
@@ -178,10 +178,10 @@
             group = self._next_group()
             if not group:
                 continue
-            if self._throttle.changed(self._clock.now_us()):
+            if self._throttle.poll_increase(self._clock.now_us()):
                 self._adjust_rate()
-            ops = sum(w.change.size() for w in group)
-            wait_us = self._bucket.wait_us(self._clock.now_us(), max(ops, 0.1))
+            ops = sum(w.change.write_count() for w in group)
+            wait_us = self._bucket.reserve_us(self._clock.now_us(), max(ops, 0.1))
             if wait_us > 0:
                 await asyncio.sleep(to_s(wait_us))
             task = asyncio.create_task(self._commit_group(group))
@@ -220,7 +220,7 @@
                 return
             except RefusedError as error:
                 if isinstance(error, ThrottledError):
-                    self._throttle.refused(self._clock.now_us())
+                    self._throttle.note_refusal(self._clock.now_us())
                     self._adjust_rate()
                 if not unknown:
                     group = self._fail_impatient(group, error)
@@ -250,7 +250,7 @@
         Limits were lowered in between, so the first copy may have been carried out, or may be
         later. It can't be any more once one of its guards has changed.
         """
-        impatient = [w for w in group if w.change.impatient]
+        impatient = [w for w in group if w.change.fail_fast]
         self._fail(impatient, UnknownOutcomeError("turned down after no answer"))
         for _ in range(_REJECTED_LOOKS):
             rows = [await self._look(key) for key in guards]
@@ -289,8 +289,8 @@
                 waiting.future.set_exception(error)
 
     def _fail_impatient(self, group: list[_Waiting], error: Exception) -> list[_Waiting]:
-        self._fail([w for w in group if w.change.impatient], error)
-        return [w for w in group if not w.change.impatient]
+        self._fail([w for w in group if w.change.fail_fast], error)
+        return [w for w in group if not w.change.fail_fast]
 
     def _sort_out(self, group: list[_Waiting], failed: set[str], error: ConflictError) -> None:
         blamed = [w for w in group if failed & w.change.guards.keys()]
--- a/mosswalk/wire/cloud.py
+++ b/mosswalk/wire/cloud.py
@@ -6,9 +6,9 @@
 
 from msgspec import Struct, field
 
-MAX_RENT = 50
-MAX_RELEASE = 100
-MAX_LIST = 500
+MAX_MACHINES_PER_RENTAL = 50
+MAX_MACHINES_PER_RELEASE = 100
+MAX_MACHINES_PER_PAGE = 500
 
 
 class MachineType(Struct, frozen=True):
@@ -35,7 +35,7 @@
 class RentRequest(Struct, frozen=True):
     """POST /machines."""
 
-    request: str = field(name="hire")
+    request_id: str = field(name="hire")
     type: str = field(name="build")
     zone: str = field(name="yard")
     spot: bool = field(name="reclaimable")
@@ -57,7 +57,7 @@
     phase: Literal["booting", "running", "failed"]
     spot: bool = field(name="reclaimable", default=False)
     address: str | None = field(name="addr", default=None)
-    held_s: float = 0.0
+    rented_for_s: float = field(name="held_s", default=0.0)
 
 
 class MachineList(Struct, frozen=True):
--- a/mosswalk/wire/peers.py
+++ b/mosswalk/wire/peers.py
@@ -9,14 +9,14 @@
 OutcomeKind = Literal["done", "error", "stopped", "refused", "lost"]
 
 
-class SlotOffer(Struct, frozen=True, array_like=True, gc=False):
+class MachineOffer(Struct, frozen=True, array_like=True, gc=False):
     """Room on one booted machine that a team may use; amounts in thousandths."""
 
     machine: str
     type: str
     zone: str
     spot: bool
-    tenure: int
+    session: int
     cpus: int
     gpus: int
     memory: int
@@ -29,7 +29,7 @@
     """All the room offered to one team in one go."""
 
     team: str
-    slots: tuple[SlotOffer, ...]
+    machines: tuple[MachineOffer, ...]
 
 
 class Offer(Struct, frozen=True):
@@ -39,7 +39,7 @@
     teams: tuple[TeamOffer, ...]
     # The zones of machines that attempts of these teams' zone-bound jobs are on: only the
     # leader knows them, and without them the owner could not place such a job's next task.
-    zones: dict[str, str] = {}
+    machine_zones: dict[str, str] = field(name="zones", default_factory=dict)
 
 
 class OfferAnswer(Struct, frozen=True):
@@ -99,7 +99,7 @@
 class PeerStatus(Struct, frozen=True):
     """What another controller sees: whether the state service serves it, and who turns to it."""
 
-    fresh: bool
+    state_is_fresh: bool = field(name="fresh")
     # Machines whose workers came to it of late although it does not lead.
     stray_workers: int = field(name="visitors", default=0)
     # Sent to those who sent theirs, if the failure detector is on.
--- a/mosswalk/wire/users.py
+++ b/mosswalk/wire/users.py
@@ -45,8 +45,8 @@
     spread: bool
     spot: bool = field(name="reclaimable")
     estimate_s: float = field(name="expect_s")
-    checkpoint_s: float = field(name="savepoint_s")
-    save_s: float = field(name="flush_s")
+    checkpoint_interval_s: float = field(name="savepoint_s")
+    checkpoint_duration_s: float = field(name="flush_s")
     types: tuple[str, ...] | None = field(name="builds", default=None)
     zone: str | None = field(name="yard", default=None)
     deadline_s: float | None = field(name="due_s", default=None)
@@ -61,7 +61,7 @@
     running: int | None = None
 
 
-class Failure(Struct, frozen=True):
+class ErrorBody(Struct, frozen=True):
     """Why a request was turned down."""
 
     error: str
@@ -91,8 +91,8 @@
         ("ram_gb", spec.memory_gb),
         ("image_gb", spec.image_gb),
         ("expect_s", spec.estimate_s),
-        ("savepoint_s", spec.checkpoint_s),
-        ("flush_s", spec.save_s),
+        ("savepoint_s", spec.checkpoint_interval_s),
+        ("flush_s", spec.checkpoint_duration_s),
         ("due_s", spec.deadline_s or 0.0),
     )
     for name, amount in amounts:
--- a/mosswalk/wire/workers.py
+++ b/mosswalk/wire/workers.py
@@ -18,7 +18,7 @@
     attempt: int = field(name="try")
     phase: str
     cause: str | None = None
-    saved: bool = False
+    checkpointed: bool = field(name="saved", default=False)
 
 
 class Report(Struct, frozen=True):
@@ -28,15 +28,15 @@
     address: str = field(name="addr")
     type: str = field(name="build")
     zone: str = field(name="yard")
-    tenure: int
-    tick: int
-    epoch: int
+    session: int = field(name="tenure")
+    sequence: int = field(name="tick")
+    term: int = field(name="epoch")
     spot: bool = field(name="reclaimable", default=False)
-    notice_s: float | None = field(name="warning_s", default=None)
+    spot_notice_s: float | None = field(name="warning_s", default=None)
     tasks: tuple[TaskReport, ...] = field(name="pieces", default=())
 
 
-class Order(Struct, frozen=True, omit_defaults=True, gc=False):
+class Command(Struct, frozen=True, omit_defaults=True, gc=False):
     """A command to a worker."""
 
     op: Literal["run", "kill", "reap"] = field(name="verb")
@@ -48,16 +48,16 @@
 class ReportAnswer(Struct, frozen=True):
     """The 200 answer to a report."""
 
-    epoch: int
-    orders: tuple[Order, ...]
+    term: int = field(name="epoch")
+    commands: tuple[Command, ...] = field(name="orders")
 
 
-class DirectOrders(Struct, frozen=True):
+class DirectCommands(Struct, frozen=True):
     """The body of POST /orders."""
 
-    epoch: int
-    tenure: int
-    orders: tuple[Order, ...]
+    term: int = field(name="epoch")
+    session: int = field(name="tenure")
+    commands: tuple[Command, ...] = field(name="orders")
 
 
 class Redirect(Struct, frozen=True, omit_defaults=True):
--- a/tests/gangs.py
+++ b/tests/gangs.py
@@ -41,7 +41,7 @@
     def stop(self, worker: Worker, key: Key, grace_s: float) -> None:
         """A task is told to stop."""
         attempt, spec = self.of(key), self.region.spec_of(key[0])
-        saves = spec.checkpoint_s > 0 and grace_s >= spec.save_s
+        saves = spec.checkpoint_interval_s > 0 and grace_s >= spec.checkpoint_duration_s
         if attempt.ends is None or not saves:
             worker.exit(key, "stopped")
             return
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -24,9 +24,9 @@
 from mosswalk.config import (
     CloudLimits,
     MachineLimits,
-    Outside,
     Params,
     Peer,
+    ServiceAddresses,
     Settings,
     StateLimits,
     Team,
@@ -429,7 +429,7 @@
                 zone[name],
                 self.addresses[name],
                 peer[name],
-                Outside(cloud, state),
+                ServiceAddresses(cloud, state),
                 Params(
                     ("a", "b"),
                     WorkerLimits(REPORT_S, LEASE_S, 15.0),
@@ -449,12 +449,12 @@
         session = aiohttp.ClientSession(headers={"From": name})
         rng = random.Random(f"{name}-{len(self.controllers)}-{time.monotonic_ns()}")
         controller = Controller(self.settings[name], session, session, SystemClock(), rng)
-        users, peers = controller.apps()
+        users, peers = controller.web_apps()
         runners = [
             await listen(users, self.settings[name].serve_on),
             await listen(peers, self.settings[name].cluster_listen),
         ]
-        tasks = [asyncio.create_task(work) for work in controller.work()]
+        tasks = [asyncio.create_task(work) for work in controller.background_loops()]
         self.controllers[name] = (controller, tasks, [*runners, session])
 
     def cut_off(self, name: str) -> None:
--- a/tests/simulated_services.py
+++ b/tests/simulated_services.py
@@ -231,9 +231,13 @@
             if row["phase"] != "exited":
                 self.region.gangs.stop(self, key, grace_s)
             return
-        saves = spec is not None and spec.checkpoint_s > 0 and grace_s >= spec.save_s
+        saves = (
+            spec is not None
+            and spec.checkpoint_interval_s > 0
+            and grace_s >= spec.checkpoint_duration_s
+        )
         if saves and row["phase"] == "running":
-            row["phase"], row["until"] = "saving", self.region.now() + spec.save_s
+            row["phase"], row["until"] = "saving", self.region.now() + spec.checkpoint_duration_s
             self._changed.set()
         elif not saves or row["phase"] != "saving":
             self.exit(key, "stopped")
--- a/tests/simulation.py
+++ b/tests/simulation.py
@@ -20,9 +20,9 @@
 from mosswalk.config import (
     CloudLimits,
     MachineLimits,
-    Outside,
     Params,
     Peer,
+    ServiceAddresses,
     Settings,
     StateLimits,
     Team,
@@ -223,7 +223,7 @@
         await asyncio.sleep(self.rng.choice([2.0, 5.0, LEASE_S + 4.0, 2 * LEASE_S]))
         name = self.rng.choice(self.names)
         if name in self.controllers:
-            self.controllers[name][0].manager.report(msgspec.json.decode(body, type=Report))
+            self.controllers[name][0].manager.answer_report(msgspec.json.decode(body, type=Report))
 
     # The controllers.
 
@@ -250,7 +250,7 @@
             zone[name],
             self.addresses[name],
             f"{name}:8081",
-            Outside("cloud:1", "state:1"),
+            ServiceAddresses("cloud:1", "state:1"),
             Params(
                 ("a", "b"),
                 WorkerLimits(REPORT_S, LEASE_S, CANCEL_S, GANG_WAIT_S, GANG_PEER_S),
@@ -278,12 +278,14 @@
         )
         context = contextvars.copy_context()
         context.run(PROCESS.set, name)
-        tasks = [self.loop.create_task(work, context=context) for work in controller.work()]
+        tasks = [
+            self.loop.create_task(work, context=context) for work in controller.background_loops()
+        ]
         self.controllers[name] = (controller, tasks)
 
         async def users(method: str, path: str, body: bytes, _sender: str) -> tuple[int, bytes]:
             if path == "/v1/report":
-                return controller.manager.report(msgspec.json.decode(body, type=Report))
+                return controller.manager.answer_report(msgspec.json.decode(body, type=Report))
             if method == "POST" and path == "/api/jobs":
                 reply = await controller.job_service.submit(body)
             elif method == "POST":
@@ -297,15 +299,15 @@
                 return msgspec.msgpack.decode(body, type=kind)
 
             if path == "/offer":
-                answer: object = await controller.owner.offer(decoded(Offer))
+                answer: object = await controller.owner.receive_offer(decoded(Offer))
             elif path == "/outcomes":
-                answer = controller.owner.outcomes(decoded(Outcomes))
+                answer = controller.owner.receive_outcomes(decoded(Outcomes))
             elif path == "/withdrawn":
-                answer = controller.withdrawn_elsewhere(decoded(Withdrawals))
+                answer = controller.apply_peer_withdrawals(decoded(Withdrawals))
             elif path == "/probe":
                 answer = await controller.detector.probe(decoded(str))
             elif path == "/poll":
-                answer = await controller.job_service.poll_for_other(decoded(str))
+                answer = await controller.job_service.poll_for_peer(decoded(str))
             else:
                 answer = controller.peer_status(decoded(Heartbeat | None))
             return 200, msgspec.msgpack.encode(answer)
--- a/tests/test_authority.py
+++ b/tests/test_authority.py
@@ -58,13 +58,13 @@
     async def lead(self):
         self.leadership.lease = self.store.grant()
         await self.mirror._load()
-        task = asyncio.create_task(self.leadership._stand("test"))
+        task = asyncio.create_task(self.leadership._campaign("test"))
         for _ in range(3):
             await asyncio.sleep(0)
         await self.mirror._follow()
         await task
-        self.leadership.lease_us = self.clock.us
-        assert self.leadership.leads() and self.leadership.may_start()
+        self.leadership.lease_renewed_at_us = self.clock.us
+        assert self.leadership.leads() and self.leadership.may_start_tasks()
 
     def depose(self):
         """Another controller leads in the next term, which the mirror does not show yet."""
@@ -192,7 +192,7 @@
         running = asyncio.create_task(node.writer.run())
         node.freeze()
         node.served = False
-        change = Change({}, {"m/j/x": Raw(b"{}")}, impatient=True)
+        change = Change({}, {"m/j/x": Raw(b"{}")}, fail_fast=True)
         with pytest.raises(RefusedError):
             await node.writer.commit(change)
         running.cancel()
@@ -312,7 +312,7 @@
         f"127.0.0.1:{state.port}", holder, progress, clock, ttl_s=1.0, renew_s=0.2, progress_s=0.6
     )
     renewer.start()
-    assert renewer.bound_us == 600_000 + 500_000 + 1_000_000
+    assert renewer.max_lease_after_progress_us == 600_000 + 500_000 + 1_000_000
     # The main loop does not renew; it is late, or has stopped altogether.
     for _ in range(30):
         time.sleep(0.1)
--- a/tests/test_cloud.py
+++ b/tests/test_cloud.py
@@ -4,7 +4,7 @@
 import random
 
 from mosswalk.actors import SystemClock
-from mosswalk.cloud.actor import CloudCaller, Released, Rented
+from mosswalk.cloud.actor import CloudCaller, ReleaseResult, RentResult
 
 
 class Cloud:
@@ -37,15 +37,15 @@
         await caller.rent((1, 2), ("small", "a", False))
         await asyncio.sleep(0.05)
         # The factory must not count them as requested for ever.
-        assert cloud.calls == [] and told == [Rented((1, 2), ("small", "a", False), ())]
+        assert cloud.calls == [] and told == [RentResult((1, 2), ("small", "a", False), ())]
         # It leads on after all: what is to be released still is.
         entitled = True
         await asyncio.sleep(0.6)
-        assert cloud.calls == [("vm-1",)] and told[1:] == [Released(("vm-1",))]
+        assert cloud.calls == [("vm-1",)] and told[1:] == [ReleaseResult(("vm-1",))]
         entitled = False
         caller.release(["vm-2"])
         await asyncio.sleep(0.05)
-        caller.forget()
+        caller.clear_pending_releases()
         entitled = True
         await asyncio.sleep(0.6)
         assert cloud.calls == [("vm-1",)]
@@ -68,12 +68,12 @@
         )
         work = asyncio.create_task(caller.run_releases())
         caller.release(["vm-1", "vm-2"])
-        caller.release(["vm-1"], served=False)
+        caller.release(["vm-1"], needs_state_service=False)
         await asyncio.sleep(0.6)
-        assert cloud.calls == [("vm-1",)] and told == [Released(("vm-1",))]
+        assert cloud.calls == [("vm-1",)] and told == [ReleaseResult(("vm-1",))]
         # But not by one whose time to lead without it is over.
         may_end = False
-        caller.release(["vm-3"], served=False)
+        caller.release(["vm-3"], needs_state_service=False)
         await asyncio.sleep(0.6)
         assert cloud.calls == [("vm-1",)]
         work.cancel()
--- a/tests/test_desk.py
+++ b/tests/test_desk.py
@@ -37,7 +37,7 @@
         loop = asyncio.create_task(writer.run())
         assert [reply.status for reply in await asyncio.gather(*queued)] == [201] * 13
         # One that is known is not turned down, however long others wait.
-        writer.wait_s = lambda: 9.0
+        writer.estimated_wait_s = lambda: 9.0
         assert (await submit(0)).status == 200
         loop.cancel()
 
--- a/tests/test_detection.py
+++ b/tests/test_detection.py
@@ -7,11 +7,17 @@
 
 from mosswalk.config.detection import DetectionTuning, load_detection
 from mosswalk.config.operator import load_tuning
-from mosswalk.detection.patience import LinkPatience
-from mosswalk.detection.quorum import Received, is_cut_off, is_dead, quorum_size, votes
+from mosswalk.detection.adaptive_timeout import AdaptiveTimeout
+from mosswalk.detection.quorum import (
+    ReceivedHeartbeat,
+    collect_votes,
+    is_cut_off,
+    is_dead,
+    quorum_size,
+)
 from mosswalk.detection.renewer import renewal_due
 from mosswalk.detection.stall import StallMonitor
-from mosswalk.detection.suspicion import PeerSuspicion
+from mosswalk.detection.suspicion import PeerMonitor
 from mosswalk.leadership.terms import assign_teams, next_term
 from mosswalk.wire.peers import Heartbeat, LinkRow
 
@@ -58,39 +64,39 @@
 
 @given(st.lists(st.integers(1, 60 * S), max_size=80))
 def test_patience_stays_between_floor_and_ceiling(gaps):
-    patience = LinkPatience(TUNING)
+    patience = AdaptiveTimeout(TUNING)
     for gap_us in gaps:
-        patience.add(gap_us)
-    assert TUNING.floor_s * S <= patience.patience_us() <= TUNING.ceiling_s * S
+        patience.add_gap(gap_us)
+    assert TUNING.floor_s * S <= patience.timeout_us() <= TUNING.ceiling_s * S
 
 
 def test_patience_is_learnt_for_each_link_and_old_habits_are_forgotten():
     tuning = DetectionTuning(floor_s=1.0, ceiling_s=10.0)
-    slow, quick = LinkPatience(tuning), LinkPatience(tuning)
-    assert slow.patience_us() == 10 * S
+    slow, quick = AdaptiveTimeout(tuning), AdaptiveTimeout(tuning)
+    assert slow.timeout_us() == 10 * S
     for _ in range(600):
-        slow.add(1_600_000)
-        quick.add(100_000)
-    assert slow.patience_us() == pytest.approx(4 * S, rel=0.05)
-    assert quick.patience_us() == 1 * S
+        slow.add_gap(1_600_000)
+        quick.add_gap(100_000)
+    assert slow.timeout_us() == pytest.approx(4 * S, rel=0.05)
+    assert quick.timeout_us() == 1 * S
     for _ in range(1100):
-        slow.add(100_000)
-    assert slow.patience_us() == 1 * S
+        slow.add_gap(100_000)
+    assert slow.timeout_us() == 1 * S
 
 
 def test_own_stalls_and_jumps_of_the_clock_are_noticed():
     stall = StallMonitor(0, 5 * S, 600_000)
-    assert stall.look(900_000, 5_900_000, 500_000) == 0
-    stall.tick(900_000, 5_900_000)
+    assert stall.check(900_000, 5_900_000, 500_000) == 0
+    stall.record_tick(900_000, 5_900_000)
     # Late by more than the limit.
-    assert stall.look(3 * S, 8 * S, 500_000) == 1_600_000
-    assert stall.listening_us == 3 * S and stall.stalls == 1
+    assert stall.check(3 * S, 8 * S, 500_000) == 1_600_000
+    assert stall.listening_since_us == 3 * S and stall.stalls == 1
     # The steady clock stood while the machine was suspended.
-    assert stall.look(3_100_000, 18 * S, 500_000) > 9 * S
-    assert stall.listening_us == 3_100_000 and stall.stalls == 2
+    assert stall.check(3_100_000, 18 * S, 500_000) > 9 * S
+    assert stall.listening_since_us == 3_100_000 and stall.stalls == 2
     # Drift is no jump.
-    stall.tick(3_600_000, 18_500_250)
-    assert stall.look(4_100_000, 19_000_500, 500_000) == 0
+    stall.record_tick(3_600_000, 18_500_250)
+    assert stall.check(4_100_000, 19_000_500, 500_000) == 0
 
 
 def heard_for(peer, from_us, until_us, step_us=S // 2, listening_us=0):
@@ -103,51 +109,51 @@
 
 
 def test_a_silence_is_suspected_after_others_were_asked():
-    peer = PeerSuspicion("b", TUNING, 0)
+    peer = PeerMonitor("b", TUNING, 0)
     last_us = heard_for(peer, 0, 20 * S)
-    patience_us = peer.patience.patience_us()
-    assert peer.observe(last_us + patience_us, 0) is None
+    patience_us = peer.timeout.timeout_us()
+    assert peer.update_state(last_us + patience_us, 0) is None
     late_us = last_us + patience_us + 1
     assert peer.needs_probe(late_us, 0)
-    assert peer.observe(late_us, 0) is None and not peer.suspected
+    assert peer.update_state(late_us, 0) is None and not peer.suspected
     peer.probed = True
-    change = peer.observe(late_us, 0)
+    change = peer.update_state(late_us, 0)
     assert (change.before, change.after) == ("alive", "silent")
     assert peer.suspected and not peer.needs_probe(late_us, 0)
 
 
 def test_one_way_loss_is_told_apart():
-    peer = PeerSuspicion("b", TUNING, 0)
+    peer = PeerMonitor("b", TUNING, 0)
     last_us = heard_for(peer, 0, 20 * S)
     peer.probed = True
-    peer.heard_elsewhere_us = last_us + 2 * S
-    peer.observe(last_us + 3 * S, 0)
+    peer.heard_by_others_at_us = last_us + 2 * S
+    peer.update_state(last_us + 3 * S, 0)
     assert peer.state == "unheard"
-    peer.heard("run", last_us + 4 * S, 0)
-    peer.said_of_us(True, last_us + 4 * S)
-    peer.observe(last_us + 4 * S, 0)
+    peer.record_contact("run", last_us + 4 * S, 0)
+    peer.record_not_receiving(True, last_us + 4 * S)
+    peer.update_state(last_us + 4 * S, 0)
     assert peer.state == "alive"
     heard_for(peer, last_us + 4 * S, last_us + 7 * S)
     assert peer.state == "unhearing" and peer.suspected
-    peer.said_of_us(False, last_us + 7 * S)
-    peer.observe(last_us + 7 * S, 0)
+    peer.record_not_receiving(False, last_us + 7 * S)
+    peer.update_state(last_us + 7 * S, 0)
     assert peer.state == "alive" and peer.suspected
 
 
 def test_who_stood_still_suspects_nobody_until_it_has_listened_again():
-    peer = PeerSuspicion("b", TUNING, 0)
+    peer = PeerMonitor("b", TUNING, 0)
     last_us = heard_for(peer, 0, 20 * S)
     peer.probed = True
     woke_us = last_us + 60 * S
-    assert peer.observe(woke_us, woke_us) is None
+    assert peer.update_state(woke_us, woke_us) is None
     assert not peer.needs_probe(woke_us + S, woke_us)
-    peer.observe(woke_us + S, woke_us)
+    peer.update_state(woke_us + S, woke_us)
     assert peer.state == "alive"
-    peer.observe(woke_us + 3 * S, woke_us)
+    peer.update_state(woke_us + 3 * S, woke_us)
     assert peer.state == "silent"
     # Its own gap taught it nothing of the link.
-    peer.heard("run", woke_us + 3 * S, woke_us)
-    assert peer.patience.patience_us() < 2 * S
+    peer.record_contact("run", woke_us + 3 * S, woke_us)
+    assert peer.timeout.timeout_us() < 2 * S
 
 
 def flap(peer, now_us):
@@ -163,7 +169,7 @@
 
 
 def test_a_link_that_flaps_stays_suspected_longer_each_time_up_to_a_bound():
-    peer = PeerSuspicion("b", TUNING, 0)
+    peer = PeerMonitor("b", TUNING, 0)
     now_us, kept = heard_for(peer, 0, 20 * S), []
     for _ in range(8):
         now_us, kept_us = flap(peer, now_us + 3 * S)
@@ -177,27 +183,27 @@
 
 
 def test_a_new_run_is_held_to_nothing_of_the_one_before():
-    peer = PeerSuspicion("b", TUNING, 0)
+    peer = PeerMonitor("b", TUNING, 0)
     last_us = heard_for(peer, 0, 20 * S)
-    peer.probed = peer.judged = True
-    peer.observe(last_us + 3 * S, 0)
+    peer.probed = peer.verdict_given = True
+    peer.update_state(last_us + 3 * S, 0)
     assert peer.suspected
-    peer.heard("next", last_us + 3 * S + 300_000, 0)
-    assert not peer.suspected and peer.state == "alive" and not peer.judged
+    peer.record_contact("next", last_us + 3 * S + 300_000, 0)
+    assert not peer.suspected and peer.state == "alive" and not peer.verdict_given
 
 
 def silent(run="run", refused=False):
-    peer = PeerSuspicion("x", TUNING, 0)
-    peer.heard(run, S, 0)
+    peer = PeerMonitor("x", TUNING, 0)
+    peer.record_contact(run, S, 0)
     peer.probed, peer.refused = True, refused
-    peer.observe(5 * S, 0)
+    peer.update_state(5 * S, 0)
     assert peer.state == "silent"
     return peer
 
 
 def word(observer, state="silent", at_us=5 * S, run="run", refused=False, stalled=False):
     row = LinkRow("x", run, state, 4000, refused)
-    return observer, Received(Heartbeat(observer, "r", stalled, (row,)), at_us)
+    return observer, ReceivedHeartbeat(Heartbeat(observer, "r", stalled, (row,)), at_us)
 
 
 @pytest.mark.parametrize(
@@ -214,7 +220,7 @@
     ],
 )
 def test_votes_are_fresh_words_of_other_observers_about_the_same_run(words, agreed):
-    found = votes(silent(), "a", dict(words), 5 * S + 1, 2 * S)
+    found = collect_votes(silent(), "a", dict(words), 5 * S + 1, 2 * S)
     assert [vote.observer for vote in found] == agreed
 
 
@@ -226,9 +232,9 @@
     peer = silent()
     names = "bcdefgh"
     for count in range(1, needed):
-        agreed = votes(peer, "a", dict(word(n) for n in names[: count - 1]), 5 * S, 2 * S)
+        agreed = collect_votes(peer, "a", dict(word(n) for n in names[: count - 1]), 5 * S, 2 * S)
         assert not is_dead(peer, agreed, controllers, 60 * S, 0, TUNING)
-    agreed = votes(peer, "a", dict(word(n) for n in names[: needed - 1]), 5 * S, 2 * S)
+    agreed = collect_votes(peer, "a", dict(word(n) for n in names[: needed - 1]), 5 * S, 2 * S)
     assert is_dead(peer, agreed, controllers, 60 * S, 0, TUNING)
 
 
@@ -242,13 +248,13 @@
 )
 def test_refusal_shortens_the_window_only_if_all_are_refused(mine, others, window_s):
     peer = silent(refused=mine)
-    agreed = votes(peer, "a", dict([word("b", refused=others)]), 5 * S, 2 * S)
+    agreed = collect_votes(peer, "a", dict([word("b", refused=others)]), 5 * S, 2 * S)
     due_us = 5 * S + round(window_s * S)
     assert not is_dead(peer, agreed, 3, due_us - 1, 0, TUNING)
     assert is_dead(peer, agreed, 3, due_us, 0, TUNING)
     # Who stood still counts from when it listens again; and a silence is judged once.
     assert not is_dead(peer, agreed, 3, due_us, 5 * S + 1, TUNING)
-    peer.judged = True
+    peer.verdict_given = True
     assert not is_dead(peer, agreed, 3, 60 * S, 0, TUNING)
 
 
@@ -258,8 +264,8 @@
     due_us = 5 * S + round((TUNING.silent_s + TUNING.ceiling_s) * S)
     assert not is_cut_off(peer, False, due_us - 1, 0, TUNING)
     assert is_cut_off(peer, False, due_us, 0, TUNING)
-    peer.heard("run", due_us, 0)
-    peer.observe(due_us, 0)
+    peer.record_contact("run", due_us, 0)
+    peer.update_state(due_us, 0)
     # Heard again: not newly cut off, but given back only once the damping is over.
     assert not is_cut_off(peer, False, due_us, 0, TUNING)
     assert is_cut_off(peer, True, due_us, 0, TUNING)
@@ -300,15 +306,15 @@
     @initialize()
     def begin(self):
         self.now_us = self.listening_us = 100 * S
-        self.peer = PeerSuspicion("x", TUNING, self.now_us)
-        self.peer.heard("0", self.now_us, self.listening_us)
+        self.peer = PeerMonitor("x", TUNING, self.now_us)
+        self.peer.record_contact("0", self.now_us, self.listening_us)
         self.runs = 0
         self.well_us = None
         self.last_us = self.now_us
 
     def observe(self):
         was = self.peer.suspected
-        self.peer.observe(self.now_us, self.listening_us)
+        self.peer.update_state(self.now_us, self.listening_us)
         if was and not self.peer.suspected:
             # Given back only after unbroken hearing for at least the shortest damping.
             assert self.well_us is not None
@@ -321,8 +327,8 @@
     @rule(gap_us=st.integers(1, 900_000), misses_us=st.booleans())
     def hear(self, gap_us, misses_us):
         self.now_us += gap_us
-        self.peer.heard(str(self.runs), self.now_us, self.listening_us)
-        self.peer.said_of_us(misses_us, self.now_us)
+        self.peer.record_contact(str(self.runs), self.now_us, self.listening_us)
+        self.peer.record_not_receiving(misses_us, self.now_us)
         self.last_us = self.now_us
         self.observe()
 
@@ -344,14 +350,14 @@
 
     @rule(age_us=st.integers(0, 5 * S))
     def heard_by_another(self, age_us):
-        self.peer.heard_elsewhere_us = self.now_us - age_us
+        self.peer.heard_by_others_at_us = self.now_us - age_us
         self.observe()
 
     @rule()
     def restart(self):
         self.runs += 1
         self.now_us += 300_000
-        self.peer.heard(str(self.runs), self.now_us, self.listening_us)
+        self.peer.record_contact(str(self.runs), self.now_us, self.listening_us)
         self.last_us, self.well_us = self.now_us, None
         assert not self.peer.suspected
         self.observe()
@@ -363,10 +369,10 @@
 
     @invariant()
     def no_verdict_without_a_quorum_nor_within_the_window(self):
-        own = votes(self.peer, "a", {}, self.now_us, 2 * S)
+        own = collect_votes(self.peer, "a", {}, self.now_us, 2 * S)
         assert not is_dead(self.peer, own, 3, self.now_us + 60 * S, 0, TUNING)
         words = dict([word("b", at_us=self.now_us, run=self.peer.run)])
-        agreed = votes(self.peer, "a", words, self.now_us, 2 * S)
+        agreed = collect_votes(self.peer, "a", words, self.now_us, 2 * S)
         if is_dead(self.peer, agreed, 3, self.now_us, self.listening_us, TUNING):
             assert self.peer.state == "silent" and self.peer.suspected
             assert self.now_us - self.listening_us >= TUNING.refused_s * S
--- a/tests/test_detection_cluster.py
+++ b/tests/test_detection_cluster.py
@@ -11,7 +11,7 @@
 
 from mosswalk.config.detection import DetectionTuning
 from mosswalk.config.operator import LeadershipTuning, Tuning
-from mosswalk.detection.quorum import Received
+from mosswalk.detection.quorum import ReceivedHeartbeat
 from mosswalk.store.records import Verdict
 from mosswalk.wire.peers import Heartbeat, LinkRow
 from tests.fault_injection import Fault, freeze_one, play_day
@@ -475,7 +475,7 @@
         await region.until(lambda: region.leader() is not None, 20.0)
         rest = [c for c, _ in region.controllers.values() if c.detector is not None]
         assert rest and all(c.detector._suspicions[gone].suspected for c in rest)
-        assert not any(c.detector.figures().verdicts for c in rest)
+        assert not any(c.detector.metrics().verdicts for c in rest)
 
     play(day())
 
@@ -487,7 +487,7 @@
         peer.run, peer.state, peer.refused = "earlier", "silent", True
         row = LinkRow(name, "earlier", "silent", 9000, True)
         now_us = detector._clock.now_us()
-        word = Received(Heartbeat(third, "run", False, (row,)), now_us)
+        word = ReceivedHeartbeat(Heartbeat(third, "run", False, (row,)), now_us)
         detector._heartbeats.received[third] = word
         detector._judge_one(peer, now_us + 10_000_000, 0)
         await asyncio.sleep(1.0)
--- a/tests/test_detection_processes.py
+++ b/tests/test_detection_processes.py
@@ -8,7 +8,7 @@
 import pytest
 
 from mosswalk.cli import EXIT_REFUSED, EXIT_UNAVAILABLE, EXIT_USAGE, client, main
-from mosswalk.cli.peers import table
+from mosswalk.cli.peers import format_detection_view
 from mosswalk.detection.view import DetectionView, MatrixCell, PeerView
 from mosswalk.store.records import Verdict
 from tests.detection_report import outcomes, page
@@ -77,7 +77,7 @@
 
 
 def test_the_table_shows_who_reaches_whom_and_why():
-    text = table(msgspec.json.encode(VIEW))
+    text = format_detection_view(msgspec.json.encode(VIEW))
     assert "term 7, leader moss-0; detection in force; stalls here 1" in text
     assert "moss-1      silent  yes        2.5 s  3.25 s ago  1.20 s    2.70   not heard" in text
     rows = [" ".join(line.split()) for line in text.splitlines()]
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -36,7 +36,7 @@
         await self.mirror._follow()
 
     async def stand(self):
-        task = asyncio.create_task(self.leadership._stand("test"))
+        task = asyncio.create_task(self.leadership._campaign("test"))
         for _ in range(3):
             await asyncio.sleep(0)
         await self.see()
@@ -56,17 +56,17 @@
         # Its request is on its way when it stops; another is elected, and then it arrives.
         slow.client.plan.append("late")
         with pytest.raises(UnknownOutcomeError):
-            await slow.leadership._stand("nobody leads")
+            await slow.leadership._campaign("nobody leads")
         await other.stand()
         slow.client.deliver()
         assert other.leadership.leads()
         # It goes on with what it saw before, and asks once more.
         with pytest.raises(ConflictError):
-            await slow.leadership._stand("nobody leads")
+            await slow.leadership._campaign("nobody leads")
         await slow.see()
         await other.see()
         assert other.leadership.leads() and not slow.leadership.leads()
-        assert slow.leadership.epoch() == other.leadership.epoch() == 1
+        assert slow.leadership.term_number() == other.leadership.term_number() == 1
 
     asyncio.run(run())
 
@@ -85,11 +85,11 @@
         await other.stand()
         assert slow.leadership.leads() and other.leadership.leads()
         with contextlib.suppress(ConflictError):
-            await slow.leadership._consider()
+            await slow.leadership._review_term()
         for node in (slow, other):
             await node.see()
         assert other.leadership.leads() and not slow.leadership.leads()
-        assert other.leadership.epoch() == 2
+        assert other.leadership.term_number() == 2
 
     asyncio.run(run())
 
@@ -101,14 +101,14 @@
             await node.see()
         await first.stand()
         first.leadership.hand_over()
-        await first.leadership._consider()
+        await first.leadership._review_term()
         await first.see()
         assert not first.leadership.leads()
         commits = first.client.commits
-        await first.leadership._consider()
+        await first.leadership._review_term()
         assert first.client.commits == commits
         await other.see()
         await other.stand()
-        assert other.leadership.leads() and other.leadership.epoch() == 2
+        assert other.leadership.leads() and other.leadership.term_number() == 2
 
     asyncio.run(run())
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -11,22 +11,22 @@
 from mosswalk.config import Team
 from mosswalk.fleet.inventory import Inventory, Machine
 from mosswalk.fleet.report_evaluation import evaluate_report
-from mosswalk.fleet.report_intake import next_report_shows
+from mosswalk.fleet.report_intake import next_report_confirms
 from mosswalk.fleet.stale_starts import StaleStarts
 from mosswalk.fleet.stopping import StopRegistry
-from mosswalk.jobs.admission import never_runs
-from mosswalk.jobs.layout import split
+from mosswalk.jobs.admission import rejection_reason
+from mosswalk.jobs.layout import split_records
 from mosswalk.jobs.registry import JobRegistry
-from mosswalk.jobs.state import Draft, Job, Place, Usage, new_record, withdraw_change
-from mosswalk.placement.capacity import Room
-from mosswalk.placement.gangs import rooms_for_gang
+from mosswalk.jobs.state import Assignment, Draft, Job, Usage, new_record, withdraw_change
+from mosswalk.placement.capacity import FreeCapacity
+from mosswalk.placement.gangs import capacities_for_gang
 from mosswalk.placement.owner import Owner
 from mosswalk.placement.preemption import Victim, choose_victims
-from mosswalk.placement.queues import TeamQueue, Urgency
+from mosswalk.placement.queues import QueueOrder, TeamQueue
 from mosswalk.store import records
 from mosswalk.store.records import Attempt, RecordLimits
 from mosswalk.store.writer import Change
-from mosswalk.wire.workers import Order, Report, TaskReport
+from mosswalk.wire.workers import Command, Report, TaskReport
 from tests.standins import LIMITS, FakeClock, shape, spec
 from tests.test_jobs import MirrorOf
 from tests.test_offers import made, submit
@@ -67,14 +67,14 @@
         if draft.changed():
             self.mirror.commit(draft.change({}))
         if self.job:
-            self.live = {a.task: a for a in self.job.live()}
+            self.live = {a.task: a for a in self.job.live_attempts()}
 
     @precondition(lambda self: self.job and self.job.open and self.job.pending_count())
     @rule(machines=st.lists(st.sampled_from("pqrs"), min_size=TASKS, max_size=TASKS))
     def place(self, machines):
         assert not self.live
         draft = Draft(self.job, FEW)
-        places = [Place(i, machine, 1) for i, machine in enumerate(machines)]
+        places = [Assignment(i, machine, 1) for i, machine in enumerate(machines)]
         self.unwritten = draft.place_gang(places, 3)
         self.commit(draft)
         numbers = {a.number for a in self.live.values()}
@@ -101,7 +101,7 @@
     @precondition(lambda self: self.job and self.job.startable)
     @rule()
     def start(self):
-        self.started |= {(a.task, a.number) for a in self.job.live()}
+        self.started |= {(a.task, a.number) for a in self.job.live_attempts()}
 
     @precondition(lambda self: self.job and self.live and self.job.record.gang != "placing")
     @rule(data=st.data(), kind=st.sampled_from(["done", "lost", "stopped", "refused"]))
@@ -111,8 +111,8 @@
             # Nobody is done without having run, nor once another one is lost.
             kind = "stopped"
         draft = Draft(self.job, FEW)
-        assert draft.settle(attempt.task, attempt.number, kind)
-        assert not draft.settle(attempt.task, attempt.number, "done")
+        assert draft.record_outcome(attempt.task, attempt.number, kind)
+        assert not draft.record_outcome(attempt.task, attempt.number, "done")
         self.done = self.done or kind == "done"
         self.lost = self.lost or (kind != "done" and not self.done)
         self.old.append(attempt)
@@ -122,7 +122,7 @@
     @rule(data=st.data())
     def late_outcome(self, data):
         attempt = data.draw(st.sampled_from(self.old))
-        assert not Draft(self.job, FEW).settle(attempt.task, attempt.number, "done")
+        assert not Draft(self.job, FEW).record_outcome(attempt.task, attempt.number, "done")
 
     @precondition(lambda self: self.job and self.job.open)
     @rule(chance=st.integers(0, 9))
@@ -135,8 +135,8 @@
     @precondition(lambda self: self.job and self.job.record.gang != "placing")
     @rule()
     def split_records(self):
-        small = RecordLimits(records.header_bytes(GANG_JOB) + 3 * 44, OPS)
-        for change in split(self.job, small).changes({self.key: self.job.version}, OPS):
+        small = RecordLimits(records.max_header_bytes(GANG_JOB) + 3 * 44, OPS)
+        for change in split_records(self.job, small).changes({self.key: self.job.version}, OPS):
             self.mirror.commit(change)
 
     @precondition(lambda self: self.job is None)
@@ -151,9 +151,9 @@
             final = records.decode_final(self.mirror.rows[records.final_key(GANG_JOB.id)][0])
             assert final.phase == ("withdrawn" if self.withdrawn else "done")
             assert self.withdrawn or self.done
-            assert not self.registry.gangs and not self.registry.by_machine
+            assert not self.registry.gangs and not self.registry.attempts_by_machine
             return
-        live = list(job.live())
+        live = list(job.live_attempts())
         assert len({a.number for a in live}) <= 1
         assert job.record.live_count == len(live)
         # Nothing starts unless all are there, nor once one is gone.
@@ -170,7 +170,7 @@
 
 
 def room(machine="vm-1", zone="a", cpus=4, **options):
-    return Room(machine, "small", zone, False, 1, cpus * 1000, 0, 16_000, **options)
+    return FreeCapacity(machine, "small", zone, False, 1, cpus * 1000, 0, 16_000, **options)
 
 
 def gang(**changes):
@@ -186,7 +186,7 @@
 def test_a_gang_gets_room_for_all_of_it_or_none(places, tasks, cpus, one_zone, spread):
     job = gang(tasks=tasks, cpus=cpus, one_zone=one_zone, spread=spread)
     before = [r.cpus for r in places]
-    found = rooms_for_gang(job, places, set())
+    found = capacities_for_gang(job, places, set())
     assert [r.cpus for r in places] == before
     most = -(-tasks // 2) if spread else tasks
     there = {z: sum(r.most(job) for r in places if r.zone == z) for z in "ab"}
@@ -203,8 +203,11 @@
 
 def test_a_queue_places_a_gang_whole_within_the_limit_and_goes_on_with_others():
     def placed(team, jobs, places, usage=None):
-        queue = TeamQueue(team, jobs, usage or Usage(), {}, {}, {}, Urgency(()), 0)
-        return [(p.job.id, len(p.places())) for p in iter(lambda: queue.place_one(places), None)]
+        queue = TeamQueue(team, jobs, usage or Usage(), {}, {}, {}, QueueOrder(()), 0)
+        return [
+            (p.job.id, len(p.task_capacities()))
+            for p in iter(lambda: queue.place_next(places), None)
+        ]
 
     big, small = gang(id="j-000001", tasks=6), gang(id="j-000002", tasks=4)
     assert placed(Team("red"), [big, small], [room()]) == [("j-000002", 4)]
@@ -232,7 +235,7 @@
 
 
 def test_a_gang_that_is_not_recorded_whole_starts_nowhere_and_its_exits_blame_nobody():
-    machine = Machine("vm-1", "small", "a", False, "up", 0, 0, tenure=1)
+    machine = Machine("vm-1", "small", "a", False, "up", 0, 0, session=1)
     attempts = {("j-1", 0, 4): Attempt(0, 4, "vm-1", 1, 7)}
 
     def judged(startable, *tasks, stop=None):
@@ -245,15 +248,15 @@
             lambda *_: stop,
             lambda _: startable,
             may_start=True,
-            in_answer=True,
+            is_periodic=True,
         )
 
-    assert judged(False).orders == [] and judged(False).outcomes == []
-    assert [order.op for order in judged(True).orders] == ["run"]
+    assert judged(False).commands == [] and judged(False).outcomes == []
+    assert [order.op for order in judged(True).commands] == ["run"]
     for cause in ("mates_gone", "alone"):
         outcomes = judged(True, TaskReport("j-1/0", 4, "exited", cause)).outcomes
         assert [outcome.kind for outcome in outcomes] == ["stopped"]
-    assert judged(True, TaskReport("j-1/0", 4, "gathering")).orders == []
+    assert judged(True, TaskReport("j-1/0", 4, "gathering")).commands == []
 
 
 def test_which_groups_can_never_run():
@@ -261,7 +264,7 @@
     teams = {"red": Team("red", cpus_max=8.0)}
 
     def never(**changes):
-        return never_runs(spec(**{"kind": "group", **changes}), types, teams)
+        return rejection_reason(spec(**{"kind": "group", **changes}), types, teams)
 
     assert never(tasks=8) is None and never(tasks=9)
     assert never(tasks=1, cpus=9.0) and never(zone="c") and never(types=("none",))
@@ -292,20 +295,20 @@
 def test_an_owner_ends_an_attempt_of_which_another_wrote_only_a_part(tmp_path):
     owner, mirror, registry, _, _ = _owner(tmp_path, 8)
     draft = Draft(registry.jobs["j-000001"], FEW)
-    left = draft.place_gang([Place(i, "vm-0000", 1) for i in range(8)], 1)
+    left = draft.place_gang([Assignment(i, "vm-0000", 1) for i in range(8)], 1)
     assert left
-    mirror.commit(draft.change({}))
+    mirror.commit(draft.to_change({}))
     drafts = {}
-    owner._give_up_half_placed(drafts)
+    owner._end_partly_placed_gangs(drafts)
     mirror.commit(drafts["j-000001"].change({}))
-    assert registry.jobs["j-000001"].ending and not registry.jobs["j-000001"].startable
+    assert registry.jobs["j-000001"].gang_ending and not registry.jobs["j-000001"].startable
 
 
 def test_what_is_left_of_an_ending_gang_is_stopped_but_not_what_saves(tmp_path):
     _, mirror, registry, inventory, settings = _owner(tmp_path, 2)
     draft = Draft(registry.jobs["j-000001"], FEW)
-    draft.place_gang([Place(0, "vm-0000", 1), Place(1, "vm-0001", 1)], 1)
-    mirror.commit(draft.change({}))
+    draft.place_gang([Assignment(0, "vm-0000", 1), Assignment(1, "vm-0001", 1)], 1)
+    mirror.commit(draft.to_change({}))
     pushed = []
     clock = FakeClock()
     stopping = StopRegistry(
@@ -317,14 +320,16 @@
         clock,
     )
     for machine in inventory.machines.values():
-        machine.tenure = 1
+        machine.session = 1
     one, two = inventory.machines["vm-0000"], inventory.machines["vm-0001"]
-    registry.on_gang_ending.append(stopping.end_gang)
+    registry.on_gang_ending.append(stopping.kill_gang)
     assert stopping.grace_s(one, ("j-000001", 0, 1)) is None
-    stopping.stop(registry.jobs["j-000001"], next(iter(registry.jobs["j-000001"].live())), 6.0)
+    stopping.stop(
+        registry.jobs["j-000001"], next(iter(registry.jobs["j-000001"].live_attempts())), 6.0
+    )
     draft = Draft(registry.jobs["j-000001"], FEW)
     draft.end_gang()
-    mirror.commit(draft.change({}))
+    mirror.commit(draft.to_change({}))
     assert stopping.grace_s(one, ("j-000001", 0, 1)) == 6.0
     assert stopping.grace_s(two, ("j-000001", 1, 1)) == 0.0
     assert pushed == [("vm-0000", 6.0), ("vm-0001", 0.0)]
@@ -336,20 +341,22 @@
     _, mirror, registry, _, clock, settings = made(tmp_path, 3)
     inventory = Inventory()
     for i in range(3):
-        inventory.machines[f"vm-{i}"] = Machine(f"vm-{i}", "small", "a", True, "up", 0, 0, tenure=1)
+        inventory.machines[f"vm-{i}"] = Machine(
+            f"vm-{i}", "small", "a", True, "up", 0, 0, session=1
+        )
     submit(mirror, kind="group", tasks=2, checkpoint_s=20.0, save_s=3.0)
     draft = Draft(registry.jobs["j-000001"], LIMITS)
-    draft.place_gang([Place(0, "vm-0", 1), Place(1, "vm-1", 1)], 1)
-    mirror.commit(draft.change({}))
+    draft.place_gang([Assignment(0, "vm-0", 1), Assignment(1, "vm-1", 1)], 1)
+    mirror.commit(draft.to_change({}))
     stopping = StopRegistry(settings, inventory, registry, lambda *_: None, lambda _: False, clock)
-    assert list(stopping.gangs_to_save()) == []
-    inventory.machines["vm-0"].notice_until_us = clock.us + 10_000_000
+    assert list(stopping.gangs_to_checkpoint()) == []
+    inventory.machines["vm-0"].spot_notice_until_us = clock.us + 10_000_000
     # On its own, a task under notice is not told to save.
     assert stopping.grace_s(inventory.machines["vm-0"], ("j-000001", 0, 1)) is None
-    inventory.machines["vm-1"].deaf_since_us = clock.us
-    assert list(stopping.gangs_to_save()) == []
-    inventory.machines["vm-1"].deaf_since_us = None
-    (job,) = stopping.gangs_to_save()
+    inventory.machines["vm-1"].not_receiving_since_us = clock.us
+    assert list(stopping.gangs_to_checkpoint()) == []
+    inventory.machines["vm-1"].not_receiving_since_us = None
+    (job,) = stopping.gangs_to_checkpoint()
     stopping.stop_gang(job)
     assert [
         stopping.grace_s(inventory.machines[f"vm-{i}"], ("j-000001", i, 1)) for i in (0, 1)
@@ -357,32 +364,32 @@
         3.0,
         3.0,
     ]
-    assert list(stopping.gangs_to_save()) == []
+    assert list(stopping.gangs_to_checkpoint()) == []
 
 
 def test_a_gang_told_to_stop_may_go_on_for_a_while_without_being_taken_for_deaf(tmp_path):
     _, _, registry, _, _ = _owner(tmp_path, 2)
-    shows = partial(next_report_shows, registry)
-    assert shows(Order("run", "j-000001/0", 1)) and shows(Order("reap", "j-000001/0", 1))
-    assert not shows(Order("kill", "j-000001/0", 1, 3.0))
-    assert shows(Order("kill", "j-000002/0", 1, 3.0))
+    shows = partial(next_report_confirms, registry)
+    assert shows(Command("run", "j-000001/0", 1)) and shows(Command("reap", "j-000001/0", 1))
+    assert not shows(Command("kill", "j-000001/0", 1, 3.0))
+    assert shows(Command("kill", "j-000002/0", 1, 3.0))
 
 
 def test_an_unanswered_start_of_an_ending_gang_is_outdated_by_a_new_term(tmp_path):
     _, mirror, registry, inventory, _ = _owner(tmp_path, 2)
     draft = Draft(registry.jobs["j-000001"], FEW)
-    draft.place_gang([Place(0, "vm-0000", 1), Place(1, "vm-0001", 1)], 1)
-    mirror.commit(draft.change({}))
+    draft.place_gang([Assignment(0, "vm-0000", 1), Assignment(1, "vm-0001", 1)], 1)
+    mirror.commit(draft.to_change({}))
     clock, asked = FakeClock(), []
     leadership = SimpleNamespace(epoch=lambda: 1, want_new_term=lambda: asked.append(True))
     late = StaleStarts(inventory, registry, leadership, clock)
-    inventory.machines["vm-0000"].tenure = 1
-    inventory.machines["vm-0000"].unanswered = {("j-000001/0", 1): (1, 1)}
+    inventory.machines["vm-0000"].session = 1
+    inventory.machines["vm-0000"].unanswered_starts = {("j-000001/0", 1): (1, 1)}
     for ending in (False, True):
         if ending:
             draft = Draft(registry.jobs["j-000001"], FEW)
             draft.end_gang()
-            mirror.commit(draft.change({}))
+            mirror.commit(draft.to_change({}))
         late.check()
         clock.us += 6_000_000
         late.check()
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -10,8 +10,8 @@
 
 from mosswalk.config import load
 from mosswalk.leadership.actor import Leadership
-from mosswalk.leadership.terms import answer_bound_us
-from mosswalk.peers.health import FRESH_US, Health
+from mosswalk.leadership.terms import max_unconfirmed_us
+from mosswalk.peers.health import MAX_CONFIRMATION_AGE_US, Health
 from mosswalk.store import records
 from mosswalk.store.mirror import Mirror
 from mosswalk.wire import state as wire
@@ -47,14 +47,14 @@
         clock = FakeClock()
         confirmed_us = clock.us
         health = Health(answers, Others(answers), lambda: confirmed_us, clock)
-        await health.look()
-        assert health.fresh() and not health.alone
-        clock.us += FRESH_US
-        await health.look()
-        assert (health.alone, health.served) == (alone, served)
+        await health.update()
+        assert health.is_served() and not health.isolated
+        clock.us += MAX_CONFIRMATION_AGE_US
+        await health.update()
+        assert (health.isolated, health.served_peer) == (alone, served)
         confirmed_us = clock.us
-        await health.look()
-        assert (health.alone, health.served) == (False, None)
+        await health.update()
+        assert (health.isolated, health.served_peer) == (False, None)
 
     asyncio.run(run())
 
@@ -91,7 +91,7 @@
 @given(st.floats(0.5, 60.0), st.floats(0.0, 120.0))
 def test_what_is_withdrawn_unseen_is_dead_in_time_however_the_clocks_drift(lease_s, more_s):
     cancel_s = lease_s + more_s
-    bound_s = answer_bound_us(lease_s, cancel_s) / 1e6
+    bound_s = max_unconfirmed_us(lease_s, cancel_s) / 1e6
     # Ours and the worker's clock run slow, the users' fast.
     dead_s = (bound_s + lease_s) * 1.001
     assert bound_s == 0 or dead_s < cancel_s - 0.3 + 0.001 * lease_s
@@ -110,17 +110,17 @@
 
         health = Health(answers, Link(), lambda: confirmed_us, clock)
         confirmed_us = clock.us
-        await health.look()
-        assert not health.left_alone_by("lead")
-        clock.us += FRESH_US
-        await health.look()
-        assert health.left_alone_by("lead") and not health.left_alone_by("in")
-        assert health.left_alone_by(None)
+        await health.update()
+        assert not health.cannot_reach_leader("lead")
+        clock.us += MAX_CONFIRMATION_AGE_US
+        await health.update()
+        assert health.cannot_reach_leader("lead") and not health.cannot_reach_leader("in")
+        assert health.cannot_reach_leader(None)
         answers["in"] = PeerStatus(True)
-        await health.look()
-        assert not health.left_alone_by("lead")
+        await health.update()
+        assert not health.cannot_reach_leader("lead")
         answers["in"], answers["lead"] = PeerStatus(False), PeerStatus(False)
-        await health.look()
-        assert not health.left_alone_by("lead")
+        await health.update()
+        assert not health.cannot_reach_leader("lead")
 
     asyncio.run(run())
--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -6,9 +6,9 @@
 from msgspec import Raw
 
 from mosswalk.config import Team
-from mosswalk.jobs.admission import never_runs
+from mosswalk.jobs.admission import rejection_reason
 from mosswalk.jobs.registry import JobRegistry
-from mosswalk.jobs.state import Draft, Job, Place, new_record, withdraw_change
+from mosswalk.jobs.state import Assignment, Draft, Job, new_record, withdraw_change
 from mosswalk.store import records
 from mosswalk.store.records import RecordLimits
 from mosswalk.store.writer import Change
@@ -73,7 +73,7 @@
     def place(self, picks, machine):
         draft = Draft(self.job, FEW_OPS)
         for index in picks:
-            attempt = draft.place(Place(index, machine, 1), 3)
+            attempt = draft.place(Assignment(index, machine, 1), 3)
             free = 0 <= index < TASKS and index not in self.live and index not in self.done
             if attempt is not None:
                 assert free and not self.withdrawn
@@ -88,9 +88,9 @@
         index = data.draw(st.sampled_from(sorted(self.live)))
         attempt = self.live[index]
         draft = Draft(self.job, FEW_OPS)
-        assert draft.settle(index, attempt.number, kind)
+        assert draft.record_outcome(index, attempt.number, kind)
         # The same message again, as the leader repeats it, changes nothing.
-        assert not draft.settle(index, attempt.number, "done")
+        assert not draft.record_outcome(index, attempt.number, "done")
         self.commit(draft)
         del self.live[index]
         self.old.append(attempt)
@@ -101,7 +101,7 @@
     @rule(data=st.data())
     def late_outcome(self, data):
         attempt = data.draw(st.sampled_from(self.old))
-        assert not Draft(self.job, FEW_OPS).settle(attempt.task, attempt.number, "done")
+        assert not Draft(self.job, FEW_OPS).record_outcome(attempt.task, attempt.number, "done")
 
     @precondition(lambda self: self.job and not self.withdrawn)
     @rule(chance=st.integers(0, 9))
@@ -123,21 +123,21 @@
             assert not self.live
             assert final.phase == ("withdrawn" if self.withdrawn else "done")
             assert self.withdrawn or len(self.done) == TASKS
-            assert not self.registry.by_machine
+            assert not self.registry.attempts_by_machine
             assert not self.registry.unplaced["red"] and not self.registry.withdrawn
             assert self.registry.usage()["red"].cpus == 0
             return
-        live = {a.task: a for a in job.live()}
+        live = {a.task: a for a in job.live_attempts()}
         assert live == self.live
         assert job.record.live_count == len(live) and job.record.done_count == len(self.done)
-        assert set(job.pending()) == set(range(TASKS)) - set(live) - self.done
+        assert set(job.pending_tasks()) == set(range(TASKS)) - set(live) - self.done
         # What plans read instead of walking all jobs.
         registry = self.registry
         pending = job.open and job.pending_count() > 0
         assert list(registry.unplaced["red"]) == (["j-000001"] if pending else [])
         assert list(registry.withdrawn) == ([] if job.open else ["j-000001"])
         assert registry.usage()["red"].cpus == len(live) * job.cpus
-        on_machines = sum(len(there) for there in self.registry.by_machine.values())
+        on_machines = sum(len(there) for there in self.registry.attempts_by_machine.values())
         assert on_machines == len(live)
         # A controller that has just started reads all keys in order, chunks before headers.
         anew = MirrorOf()
@@ -146,7 +146,7 @@
             for prefix, listener in anew.listeners:
                 if key.startswith(prefix):
                     listener(key, value, version)
-        assert registry.by_machine == self.registry.by_machine
+        assert registry.attempts_by_machine == self.registry.attempts_by_machine
 
 
 JobMachine.TestCase.settings = settings(max_examples=60, stateful_step_count=40)
@@ -157,9 +157,9 @@
     size = records.chunk_size(LIMITS, spec(tasks=100_000))
     job = Job(new_record(spec(tasks=100_000), 1 << 52, size), 1)
     draft = Draft(job, LIMITS)
-    placed = [draft.place(Place(i, "vm-00123456", 100), 1 << 40) for i in range(15 * size)]
-    change = draft.change({})
-    assert change.size() <= 16
+    placed = [draft.place(Assignment(i, "vm-00123456", 100), 1 << 40) for i in range(15 * size)]
+    change = draft.to_change({})
+    assert change.write_count() <= 16
     assert sum(p is not None for p in placed) == 15 * size
     assert max(len(bytes(v)) for v in change.puts.values()) <= 16 * 1024
 
@@ -167,10 +167,10 @@
 def test_a_replica_that_ends_is_started_again():
     job = Job(new_record(spec(kind="daemon", tasks=1), 0, 8), 1)
     draft = Draft(job, LIMITS)
-    attempt = draft.place(Place(0, "vm-1", 1), 1)
-    draft.settle(0, attempt.number, "done")
-    assert draft.final() is None and draft.record.done_count == 0
-    assert draft.place(Place(0, "vm-2", 1), 1).number != attempt.number
+    attempt = draft.place(Assignment(0, "vm-1", 1), 1)
+    draft.record_outcome(0, attempt.number, "done")
+    assert draft.final_record() is None and draft.record.done_count == 0
+    assert draft.place(Assignment(0, "vm-2", 1), 1).number != attempt.number
 
 
 def test_what_can_never_run_is_told_from_what_can():
@@ -178,7 +178,7 @@
     teams = {"red": Team("red", cpus_max=8.0)}
 
     def judge(**changes):
-        return never_runs(spec(**changes), types, teams)
+        return rejection_reason(spec(**changes), types, teams)
 
     assert judge() is None and judge(tasks=100_000) is None
     assert judge(team="blue") and judge(cpus=9.0) and judge(gpus=1.0) and judge(zone="c")
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -11,9 +11,9 @@
 from msgspec import Raw
 
 from mosswalk.config import NextStateLimits, StateLimits
-from mosswalk.jobs.layout import is_too_coarse, split
+from mosswalk.jobs.layout import needs_split, split_records
 from mosswalk.jobs.registry import JobRegistry
-from mosswalk.jobs.state import Draft, Job, Place, new_record, record_limits, withdraw_change
+from mosswalk.jobs.state import Assignment, Draft, Job, new_record, record_limits, withdraw_change
 from mosswalk.store import records
 from mosswalk.store.client import InvalidRequestError, RefusedError, UnknownOutcomeError
 from mosswalk.store.records import RecordLimits
@@ -46,23 +46,27 @@
     mirror.commit(Change({key: 0}, {key: Raw(records.encode(record))}))
     draft = Draft(registry.jobs["j-000001"], LIMITS)
     for index in range(tasks):
-        draft.place(Place(index, f"vm-{index // 8:06d}", 1), 12)
+        draft.place(Assignment(index, f"vm-{index // 8:06d}", 1), 12)
     mirror.ops = 16
-    mirror.commit(draft.change({}))
+    mirror.commit(draft.to_change({}))
     draft = Draft(registry.jobs["j-000001"], LIMITS)
     for index in sorted(data.draw(st.sets(st.integers(0, tasks - 1), max_size=60))):
-        draft.settle(index, index + 1, data.draw(st.sampled_from(["done", "lost"])))
-    if draft.final() is None:
-        mirror.commit(draft.change({}))
+        draft.record_outcome(index, index + 1, data.draw(st.sampled_from(["done", "lost"])))
+    if draft.final_record() is None:
+        mirror.commit(draft.to_change({}))
     job = registry.jobs["j-000001"]
     seen = []
-    registry.on_attempt.append(lambda machine, _, attempt: seen.append(attempt))
-    before = (set(job.live()), list(job.pending()), copy.deepcopy(registry.by_machine))
-    if not is_too_coarse(job, LOWERED):
+    registry.on_attempt_added.append(lambda machine, _, attempt: seen.append(attempt))
+    before = (
+        set(job.live_attempts()),
+        list(job.pending_tasks()),
+        copy.deepcopy(registry.attempts_by_machine),
+    )
+    if not needs_split(job, LOWERED):
         assert tasks <= 32
         return
     mirror.ops = LOWERED.txn_ops
-    changes = split(job, LOWERED).changes({key: job.version}, LOWERED.txn_ops)
+    changes = split_records(job, LOWERED).changes({key: job.version}, LOWERED.txn_ops)
     stop = data.draw(st.integers(0, len(changes)))
     for change in changes[:stop]:
         mirror.commit(change)
@@ -73,21 +77,29 @@
         ended = data.draw(st.booleans())
         if ended:
             draft = Draft(job, LIMITS)
-            for attempt in sorted(job.live(), key=lambda a: -a.task)[: tasks // 2]:
-                draft.settle(attempt.task, attempt.number, "lost")
-            mirror.commit(draft.change({}))
+            for attempt in sorted(job.live_attempts(), key=lambda a: -a.task)[: tasks // 2]:
+                draft.record_outcome(attempt.task, attempt.number, "lost")
+            mirror.commit(draft.to_change({}))
         else:
             mirror.commit(withdraw_change(job, 9))
         job = registry.jobs["j-000001"]
-        now = (set(job.live()), list(job.pending()), copy.deepcopy(registry.by_machine))
+        now = (
+            set(job.live_attempts()),
+            list(job.pending_tasks()),
+            copy.deepcopy(registry.attempts_by_machine),
+        )
         assert ended or now == before
         before = now
         mirror.ops = LOWERED.txn_ops
-        for change in split(job, LOWERED).changes({key: job.version}, LOWERED.txn_ops):
+        for change in split_records(job, LOWERED).changes({key: job.version}, LOWERED.txn_ops):
             mirror.commit(change)
     job = registry.jobs["j-000001"]
-    assert (set(job.live()), list(job.pending()), registry.by_machine) == before
-    assert not is_too_coarse(job, LOWERED) and seen == []
+    assert (
+        set(job.live_attempts()),
+        list(job.pending_tasks()),
+        registry.attempts_by_machine,
+    ) == before
+    assert not needs_split(job, LOWERED) and seen == []
     # The version before gangs would write it back without its layout: it can't read it.
     with pytest.raises(msgspec.ValidationError):
         production.decode(production.JobRecord, mirror.rows[key][0])
@@ -98,9 +110,12 @@
         for prefix, listener in other.listeners:
             if row.startswith(prefix):
                 listener(row, *mirror.rows[row])
-    assert set(again.jobs["j-000001"].live()) == before[0] and again.by_machine == before[2]
+    assert (
+        set(again.jobs["j-000001"].live_attempts()) == before[0]
+        and again.attempts_by_machine == before[2]
+    )
     # What was left behind goes, and only that.
-    stale = {orphan.key for orphan in registry.orphans()}
+    stale = {orphan.key for orphan in registry.orphaned_chunks()}
     live = {records.chunk_key(job.id, n, job.record.layout) for n in job.chunks}
     assert stale | live == {k for k in mirror.rows if k.startswith(records.CHUNK_PREFIX)}
     assert not stale & live
@@ -110,9 +125,9 @@
     job = Job(new_record(spec(tasks=29), 1 << 52, 29), 1)
     draft = Draft(job, LOWERED)
     for index in range(29):
-        draft.place(Place(index, "machine-" + "x" * 60 + str(index), 10**6), 10**6)
+        draft.place(Assignment(index, "machine-" + "x" * 60 + str(index), 10**6), 10**6)
     assert 8 < draft.record.live_count < 29
-    assert len(bytes(draft.change({}).puts[records.job_key(job.id)])) <= LOWERED.value_bytes
+    assert len(bytes(draft.to_change({}).puts[records.job_key(job.id)])) <= LOWERED.value_bytes
 
 
 class Limited:
@@ -181,9 +196,9 @@
     throttle = Throttle()
     assert throttle.factor(0) == 1.0
     for second in range(1, 20):
-        throttle.refused(second * 2 * S)
+        throttle.note_refusal(second * 2 * S)
     low = throttle.factor(38 * S)
     assert 0.15 < low < 0.4
-    throttle.refused(38 * S + 1)
+    throttle.note_refusal(38 * S + 1)
     assert throttle.factor(38 * S + 1) == pytest.approx(low)
     assert throttle.factor(90 * S) == 1.0
--- a/tests/test_offers.py
+++ b/tests/test_offers.py
@@ -9,10 +9,10 @@
 from mosswalk.config import Team, load
 from mosswalk.factory.view import WaitingTasks
 from mosswalk.fleet.inventory import Inventory, Machine
-from mosswalk.fleet.offers import Offers
+from mosswalk.fleet.offers import OfferPlanner
 from mosswalk.fleet.preempting import Preemptor
 from mosswalk.jobs.registry import JobRegistry
-from mosswalk.jobs.state import Draft, Place, new_record
+from mosswalk.jobs.state import Assignment, Draft, new_record
 from mosswalk.placement.capacity import ZoneRule
 from mosswalk.placement.owner import Owner
 from mosswalk.store import records
@@ -28,7 +28,7 @@
 S = 1_000_000
 
 
-class Counted(Offers):
+class Counted(OfferPlanner):
     builds = 0
 
     def _build(self, machine):
@@ -47,7 +47,16 @@
     for i in range(machines):
         name = f"vm-{i:04d}"
         inventory.machines[name] = Machine(
-            name, "small", "a", False, "up", 0, 0, "x", hears=True, seen_us=clock.us
+            name,
+            "small",
+            "a",
+            False,
+            "up",
+            0,
+            0,
+            "x",
+            has_acknowledged_leader=True,
+            last_seen_at_us=clock.us,
         )
     term = TermRecord(1, "a", {"red": "a"})
     leadership = SimpleNamespace(term=term, may_start=lambda: True, suspected=frozenset, node="a")
@@ -68,33 +77,33 @@
 def place(mirror, registry, count, machine):
     draft = Draft(next(iter(registry.jobs.values())), LIMITS)
     for index in range(count):
-        draft.place(Place(index, machine, 1), 1)
-    mirror.commit(draft.change({}))
+        draft.place(Assignment(index, machine, 1), 1)
+    mirror.commit(draft.to_change({}))
 
 
 def test_a_plan_builds_only_the_room_of_machines_of_which_something_changed(tmp_path):
     offers, mirror, registry, _, clock, _ = made(tmp_path, 300)
-    offers.refresh()
+    offers.mark_periodic_changes()
     offers.plan()
     # Nothing to place: no machine is looked at.
     assert offers.builds == 0
-    offers.rooms()
+    offers.free_capacities()
     assert offers.builds == 300
-    offers.refresh()
+    offers.mark_periodic_changes()
     offers.plan()
     assert offers.builds == 300
-    offers.touch("vm-0007")
+    offers.mark_changed("vm-0007")
     submit(mirror, tasks=1)
     ((node, offer),) = offers.plan()
-    assert node == "a" and len(offer.teams[0].slots) == 1 and offers.builds == 301
-    place(mirror, registry, 1, offer.teams[0].slots[0].machine)
+    assert node == "a" and len(offer.teams[0].machines) == 1 and offers.builds == 301
+    place(mirror, registry, 1, offer.teams[0].machines[0].machine)
     submit(mirror, id="j-000002", tasks=1)
     offers.plan()
     assert offers.builds == 302
     # Silence takes room away by time alone.
     clock.us += 60 * S
-    offers.refresh()
-    assert offers.rooms() == []
+    offers.mark_periodic_changes()
+    assert offers.free_capacities() == []
 
 
 @given(
@@ -109,10 +118,10 @@
     submit(mirror, tasks=2, cpus=3.0)
     place(mirror, registry, 1, "vm-0000")
     machine = inventory.machines["vm-0000"]
-    machine.hears, machine.deaf_since_us = hears, 5 if deaf else None
+    machine.has_acknowledged_leader, machine.not_receiving_since_us = hears, 5 if deaf else None
     if phase is not None:
-        machine.note_tasks((TaskReport("j-000001/0", 1, phase, "done"),))
-    rooms = offers.rooms()
+        machine.update_tasks((TaskReport("j-000001/0", 1, phase, "done"),))
+    rooms = offers.free_capacities()
     if not hears or deaf:
         assert rooms == []
     else:
@@ -129,7 +138,7 @@
     owner = Owner(settings, mirror, registry, writer, leadership, clock)
 
     def drafted(*outcomes):
-        owner.outcomes(
+        owner.receive_outcomes(
             SimpleNamespace(
                 outcomes=[Outcome(f"j-000001/{i}", i + 1, "vm-0000", kind) for i, kind in outcomes]
             )
@@ -159,16 +168,16 @@
         priority = "prod" if i % 10 == 9 else "idle" if i % 2 else "standard"
         submit(mirror, id=f"j-{i:06d}", tasks=2, priority=priority)
         draft = Draft(registry.jobs[f"j-{i:06d}"], LIMITS)
-        draft.place(Place(0, "vm-0000", 1), 1)
-        mirror.commit(draft.change({}))
+        draft.place(Assignment(0, "vm-0000", 1), 1)
+        mirror.commit(draft.to_change({}))
     leadership = SimpleNamespace(owns=lambda team: True, gangs_allowed=lambda: False)
     owner = Owner(settings, mirror, registry, None, leadership, clock)
-    owner.outcomes(
+    owner.receive_outcomes(
         SimpleNamespace(outcomes=[Outcome(f"j-{i:06d}/0", 1, "vm-0000", "lost") for i in range(40)])
     )
     drafts = {}
     owner._apply_outcomes(drafts)
-    assert len(drafts) == owner._most_settled and owner._wake.is_set()
+    assert len(drafts) == owner._max_outcome_jobs and owner._wake.is_set()
     seen = [draft.job.id for draft in drafts.values()]
     prod = [f"j-{i:06d}" for i in (9, 19, 29, 39)]
     # Idle work's ends are not held up by standard work's.
@@ -178,11 +187,13 @@
         mirror.commit(draft.change({}))
     drafts = {}
     owner._apply_outcomes(drafts)
-    assert len(drafts) == owner._most_settled
+    assert len(drafts) == owner._max_outcome_jobs
     for job_id in prod:
         draft = Draft(registry.jobs[job_id], LIMITS)
-        assert draft.place(Place(0, "vm-0000", 1), 1) and draft.place(Place(1, "vm-0000", 1), 1)
-        mirror.commit(draft.change({}))
+        assert draft.place(Assignment(0, "vm-0000", 1), 1) and draft.place(
+            Assignment(1, "vm-0000", 1), 1
+        )
+        mirror.commit(draft.to_change({}))
     drafts = {}
     owner._apply_outcomes(drafts)
     assert len(drafts) == 24 and not owner._outcomes
@@ -195,7 +206,7 @@
     waits = WaitingTasks(placed("j-000009", tasks=3, priority="prod"), 3, ZoneRule(False, 3))
     preempting = Preemptor(settings, inventory, registry, offers, clock)
     exits = (TaskReport(f"j-000001/{i}", i + 1, "exited", "stopped") for i in range(2))
-    inventory.machines["vm-0000"].note_tasks(tuple(exits))
+    inventory.machines["vm-0000"].update_tasks(tuple(exits))
     # Two are being stopped and their exits are reported: room for two, one more to stop.
     stopping = {("j-000001", 0, 1), ("j-000001", 1, 2)}
-    assert [v.attempt.task for v in preempting.victims([waits], stopping)] == [3]
+    assert [v.attempt.task for v in preempting.select_victims([waits], stopping)] == [3]
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -2,11 +2,11 @@
 from hypothesis import strategies as st
 
 from mosswalk.config import Objective, Team
-from mosswalk.jobs.state import Draft, Job, Place, new_record
+from mosswalk.jobs.state import Assignment, Draft, Job, new_record
 from mosswalk.leadership.terms import assign_teams, needs_new_term, next_term
-from mosswalk.placement.capacity import Room, room_to_keep, zone_rule
-from mosswalk.placement.preemption import Victim, choose_victims, worth_saving
-from mosswalk.placement.queues import TeamQueue, Urgency, Usage, serve_in_turn, shielded
+from mosswalk.placement.capacity import FreeCapacity, capacity_to_claim, zone_rule
+from mosswalk.placement.preemption import Victim, choose_victims, should_checkpoint
+from mosswalk.placement.queues import QueueOrder, TeamQueue, Usage, is_protected, place_across_teams
 from tests.standins import LIMITS, spec
 
 
@@ -14,7 +14,7 @@
     made = Job(new_record(spec(job_id, **changes), at_us, 256), 1)
     draft = Draft(made, LIMITS)
     for index, machine in enumerate(live):
-        draft.place(Place(index, machine, 1), 1)
+        draft.place(Assignment(index, machine, 1), 1)
     record = draft.record
     from msgspec import structs
 
@@ -22,10 +22,10 @@
 
 
 def room(name="vm-1", cpus=4000, zone="a", spot=False, **changes):
-    return Room(name, "small", zone, spot, 1, cpus, 0, 16_000, **changes)
+    return FreeCapacity(name, "small", zone, spot, 1, cpus, 0, 16_000, **changes)
 
 
-URGENCY = Urgency([Objective("finished", "soon", 60.0), Objective("finished", "soon", 90.0)])
+URGENCY = QueueOrder([Objective("finished", "soon", 60.0), Objective("finished", "soon", 90.0)])
 
 
 def queue(team, jobs, usage=None, zones=None, now_us=0):
@@ -56,7 +56,7 @@
     before = {p.machine: p.cpus for p in places}
     got = []
     turn = queue(Team("red", cpus_max=limit), made, Usage(used * 1000))
-    while (placing := turn.place_one(places)) is not None:
+    while (placing := turn.place_next(places)) is not None:
         got.append(placing)
     assert len({(p.job.id, p.index) for p in got}) == len(got)
     if limit and got:
@@ -77,11 +77,11 @@
 def test_live_attempts_count_for_zone_rules_and_an_unknown_zone_blocks():
     split = job(tasks=3, spread=True, live=["vm-8", "vm-9"])
     zones = {"vm-8": "a", "vm-9": "a"}
-    assert queue(Team("red"), [split], zones=zones).place_one([room(zone="a")]) is None
-    placing = queue(Team("red"), [split], zones=zones).place_one([room(zone="b")])
+    assert queue(Team("red"), [split], zones=zones).place_next([room(zone="a")]) is None
+    placing = queue(Team("red"), [split], zones=zones).place_next([room(zone="b")])
     assert placing is not None and placing.index == 2
     assert zone_rule(split, {"vm-8": "a"}) is None
-    assert queue(Team("red"), [split], zones={"vm-8": "a"}).place_one([room(zone="b")]) is None
+    assert queue(Team("red"), [split], zones={"vm-8": "a"}).place_next([room(zone="b")]) is None
 
 
 def test_the_queue_serves_priority_then_deadline_then_arrival():
@@ -94,7 +94,7 @@
     ]
     turn = queue(Team("red"), jobs)
     places = [room(cpus=9000)]
-    order = [p.job.id for p in iter(lambda: turn.place_one(places), None)]
+    order = [p.job.id for p in iter(lambda: turn.place_next(places), None)]
     assert order == ["j-4", "j-2", "j-3", "j-1", "j-5"]
 
 
@@ -105,24 +105,24 @@
         room("vm-3", core_price=0.06, fetch_s_per_gb=5.0, spot=True),
     ]
     places[2].core_price = 0.055
-    assert queue(Team("red"), [job(tasks=1)]).place_one(places).room.machine == "vm-2"
-    assert queue(Team("red"), [job(tasks=1)]).place_one([places[0], places[2]]).room.spot
+    assert queue(Team("red"), [job(tasks=1)]).place_next(places).capacity.machine == "vm-2"
+    assert queue(Team("red"), [job(tasks=1)]).place_next([places[0], places[2]]).capacity.spot
     replica = job(tasks=1, kind="daemon", priority="prod", spot=False)
-    assert queue(Team("red"), [replica]).place_one(places).room.machine == "vm-2"
+    assert queue(Team("red"), [replica]).place_next(places).capacity.machine == "vm-2"
     places[1].core_price = 0.08
     places[0].images, places[0].replica_cpus = places[1].images, places[1].replica_cpus
-    assert queue(Team("red"), [replica]).place_one(places).room.machine == "vm-1"
+    assert queue(Team("red"), [replica]).place_next(places).capacity.machine == "vm-1"
     avoiding = TeamQueue(
         Team("red"), [job(tasks=1)], Usage(), {}, {"j-1": {"vm-1"}}, {}, URGENCY, 0
     )
-    assert avoiding.place_one([room("vm-1")]) is None
+    assert avoiding.place_next([room("vm-1")]) is None
 
 
 def test_teams_are_served_by_guarantee_and_then_by_shares():
     teams = [Team("red", cpus=2.0), Team("blue"), Team("green")]
     queues = [queue(t, [job(f"j-{i}", tasks=50, team=t.name)]) for i, t in enumerate(teams)]
     shares = {"red": 1.0, "blue": 1.0, "green": 3.0}
-    order = [p.job.spec.team for p in serve_in_turn(queues, [room(cpus=14_000)], shares)]
+    order = [p.job.spec.team for p in place_across_teams(queues, [room(cpus=14_000)], shares)]
     assert order[:2] == ["red", "red"]
     assert (order.count("red"), order.count("blue"), order.count("green")) == (3, 3, 8)
 
@@ -174,7 +174,7 @@
     first = next_term(None, "a", {"a": "1", "b": "1"}, ["x", "y"])
     assert first.term == 1 and not needs_new_term(first, {"a": "1", "b": "1"})
     assert needs_new_term(first, {"a": "1", "b": "2"}) and needs_new_term(first, {"a": "1"})
-    assert next_term(first, "b", {"b": "2"}, ["x"], above=7).term == 8
+    assert next_term(first, "b", {"b": "2"}, ["x"], higher_than=7).term == 8
 
 
 def test_an_owner_that_the_leader_can_not_reach_gets_no_teams_until_it_can():
@@ -191,14 +191,14 @@
 def test_room_freed_for_a_job_is_not_given_back_to_the_one_that_was_stopped():
     stopped, urgent = job("j-7", tasks=1, priority="idle"), job("j-9", tasks=1)
     claimed = room(claimed_by=frozenset({"j-9"}))
-    assert queue(Team("red"), [stopped]).place_one([claimed]) is None
-    assert queue(Team("red"), [urgent]).place_one([claimed]).job is urgent
+    assert queue(Team("red"), [stopped]).place_next([claimed]) is None
+    assert queue(Team("red"), [urgent]).place_next([claimed]).job is urgent
 
 
 def test_replicas_gather_so_that_other_machines_can_be_given_back():
     replica = job(tasks=1, kind="daemon", spot=False)
     alone, shared = room("vm-1", cpus=1000), room("vm-2", replica_cpus=1000)
-    assert queue(Team("red"), [replica]).place_one([alone, shared]).room is shared
+    assert queue(Team("red"), [replica]).place_next([alone, shared]).capacity is shared
 
 
 def test_a_job_that_can_not_be_in_time_gives_way_to_one_that_can():
@@ -207,7 +207,7 @@
 
     def first(now_s):
         turn = queue(Team("red"), [early, late], now_us=now_s * 1_000_000)
-        return turn.place_one([room()]).job.id
+        return turn.place_next([room()]).job.id
 
     # In time for 60 s, then only for 90 s, which is still before the other's 60; then not at all.
     assert [first(s) for s in (20, 50, 70)] == ["j-1", "j-1", "j-2"]
@@ -263,43 +263,47 @@
             )
             for team in teams
         ]
-        for n, placing in enumerate(serve_in_turn(queues, places, {"red": share, "blue": 1.0})):
+        for n, placing in enumerate(
+            place_across_teams(queues, places, {"red": share, "blue": 1.0})
+        ):
             if placing.job is big:
                 assert second <= 240
                 return
             # Tasks end one after another, so that whole machines never come free together.
             end_s = second + flood_run_s + 5 * (n % 7)
-            free[placing.room.machine] -= placing.job.cpus
-            running.append((end_s, placing.room.machine, placing.job.cpus, placing.job.spec.team))
+            free[placing.capacity.machine] -= placing.job.cpus
+            running.append(
+                (end_s, placing.capacity.machine, placing.job.cpus, placing.job.spec.team)
+            )
         for turn in queues:
-            if big in turn.stuck and turn.is_overdue(big) and not kept:
-                kept = {room_to_keep(big, places, {"small"}).machine}
+            if big in turn.unschedulable and turn.is_overdue(big) and not kept:
+                kept = {capacity_to_claim(big, places, {"small"}).machine}
     raise AssertionError("never begun")
 
 
 def test_what_waited_long_to_begin_is_stopped_for_prod_work_only():
     old = job("j-7", tasks=1, priority="idle", live=["vm-1"])
     teams = {"red": Team("red")}
-    running = {"vm-1": [Victim(old, a, shielded=True) for a in old.live()]}
+    running = {"vm-1": [Victim(old, a, protected=True) for a in old.live_attempts()]}
     for priority, stopped in (("prod", 1), ("high", 0)):
         urgent = job("j-9", tasks=1, priority=priority)
         got = choose_victims([(urgent, 1)], [room(cpus=0)], running, teams, {}, {}, 9)
         assert len(got) == stopped
-    assert shielded(old, 200 * S) and not shielded(old, 100 * S)
+    assert is_protected(old, 200 * S) and not is_protected(old, 100 * S)
 
 
 def test_a_job_too_large_for_its_teams_limit_to_be_in_time_gives_way_and_waits_count():
-    urgency = Urgency([Objective("wait", "soon", 90.0)], [Team("red", cpus_max=10.0)])
+    urgency = QueueOrder([Objective("wait", "soon", 90.0)], [Team("red", cpus_max=10.0)])
     giant = job("j-1", 0, tasks=50, estimate_s=60.0, deadline_s=210.0)
     small = job("j-2", 5 * S, tasks=9, estimate_s=60.0, deadline_s=210.0)
     waits = job("j-3", 9 * S, tasks=9, job_class="soon", estimate_s=60.0)
-    order = sorted([giant, small, waits], key=lambda j: urgency.key(j, 10 * S))
+    order = sorted([giant, small, waits], key=lambda j: urgency.sort_key(j, 10 * S))
     assert [j.id for j in order] == ["j-3", "j-2", "j-1"]
     # Without a limit it can be in time, and it came first.
-    assert Urgency([]).key(giant, 10 * S) < Urgency([]).key(small, 10 * S)
+    assert QueueOrder([]).sort_key(giant, 10 * S) < QueueOrder([]).sort_key(small, 10 * S)
 
 
 def test_a_stopped_task_saves_only_if_that_is_quicker_than_doing_the_work_again():
-    assert worth_saving(spec(checkpoint_s=20.0, save_s=3.0))
-    assert not worth_saving(spec(checkpoint_s=15.0, save_s=6.0))
-    assert not worth_saving(spec(checkpoint_s=0.0, save_s=0.0))
+    assert should_checkpoint(spec(checkpoint_s=20.0, save_s=3.0))
+    assert not should_checkpoint(spec(checkpoint_s=15.0, save_s=6.0))
+    assert not should_checkpoint(spec(checkpoint_s=0.0, save_s=0.0))
--- a/tests/test_reachability.py
+++ b/tests/test_reachability.py
@@ -3,16 +3,18 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from mosswalk.fleet.inventory import Machine, carried_out
-from mosswalk.wire.workers import Order, Report, TaskReport
+from mosswalk.fleet.inventory import Machine, report_shows_execution
+from mosswalk.wire.workers import Command, Report, TaskReport
 
 S = 1_000_000
 LEASE_US = 12 * S
-RUN = Order("run", "j-000001/0", 1)
+RUN = Command("run", "j-000001/0", 1)
 
 
 def machine(**changes):
-    made = Machine("vm-1", "small", "a", False, "up", 0, 0, tenure=1, tick=1, hears=True)
+    made = Machine(
+        "vm-1", "small", "a", False, "up", 0, 0, session=1, sequence=1, has_acknowledged_leader=True
+    )
     for name, value in changes.items():
         setattr(made, name, value)
     return made
@@ -24,20 +26,22 @@
 
 def test_an_order_left_undone_or_an_epoch_not_taken_up_is_a_sign_of_deafness():
     deaf = machine()
-    deaf.told(5, (RUN,), 10 * S)
-    deaf.note_hearing(report(2), 12 * S, LEASE_US)
-    assert deaf.deaf_since_us == 12 * S
-    deaf.note_hearing(report(3), 14 * S, LEASE_US)
-    assert deaf.deaf_since_us == 12 * S
-    deaf.note_hearing(report(4, tasks=(TaskReport(RUN.task, 1, "pulling"),)), 16 * S, LEASE_US)
-    assert deaf.deaf_since_us is None
+    deaf.record_answer(5, (RUN,), 10 * S)
+    deaf.check_answer_received(report(2), 12 * S, LEASE_US)
+    assert deaf.not_receiving_since_us == 12 * S
+    deaf.check_answer_received(report(3), 14 * S, LEASE_US)
+    assert deaf.not_receiving_since_us == 12 * S
+    deaf.check_answer_received(
+        report(4, tasks=(TaskReport(RUN.task, 1, "pulling"),)), 16 * S, LEASE_US
+    )
+    assert deaf.not_receiving_since_us is None
     # A new leader's first answer has not been heard yet when the report before it was made.
     fresh = machine(hears=False)
-    fresh.note_hearing(report(2, epoch=4), 12 * S, LEASE_US)
-    assert fresh.deaf_since_us is None
-    fresh.told(5, (), 12 * S)
-    fresh.note_hearing(report(3, epoch=4), 14 * S, LEASE_US)
-    assert fresh.deaf_since_us == 14 * S
+    fresh.check_answer_received(report(2, epoch=4), 12 * S, LEASE_US)
+    assert fresh.not_receiving_since_us is None
+    fresh.record_answer(5, (), 12 * S)
+    fresh.check_answer_received(report(3, epoch=4), 14 * S, LEASE_US)
+    assert fresh.not_receiving_since_us == 14 * S
 
 
 @given(st.integers(0, 30), st.booleans())
@@ -46,17 +50,17 @@
 ):
     one = machine(told_us=10 * S, told_epoch=5)
     now_us = (10 + silence_s) * S
-    one.note_hearing(report(1, tenure=2), now_us, LEASE_US)
-    one.tenure = 2
-    assert one.must_prove == (silence_s < 7.2)
+    one.check_answer_received(report(1, tenure=2), now_us, LEASE_US)
+    one.session = 2
+    assert one.needs_direct_answer == (silence_s < 7.2)
     # Its reports alone do not clear it, however many.
-    one.told(5, (), now_us)
-    one.note_hearing(report(2, tenure=2), now_us + S, LEASE_US)
-    assert (one.deaf_since_us is not None) == one.must_prove
+    one.record_answer(5, (), now_us)
+    one.check_answer_received(report(2, tenure=2), now_us + S, LEASE_US)
+    assert (one.not_receiving_since_us is not None) == one.needs_direct_answer
     if answers:
-        one.answered_orders()
-        one.note_hearing(report(3, tenure=2), now_us + 2 * S, LEASE_US)
-        assert one.deaf_since_us is None
+        one.record_direct_answer()
+        one.check_answer_received(report(3, tenure=2), now_us + 2 * S, LEASE_US)
+        assert one.not_receiving_since_us is None
 
 
 @given(
@@ -65,7 +69,7 @@
 )
 def test_what_a_report_must_show_of_an_order(op, phase):
     tasks = () if phase is None else (TaskReport("j-000001/0", 1, phase),)
-    shown = carried_out(Order(op, "j-000001/0", 1), report(2, tasks=tasks))
+    shown = report_shows_execution(Command(op, "j-000001/0", 1), report(2, tasks=tasks))
     want = {
         "run": phase is not None,
         "kill": phase in (None, "saving", "exited"),
--- a/tests/test_renting.py
+++ b/tests/test_renting.py
@@ -37,10 +37,10 @@
     submit(mirror, kind="group", tasks=6, one_zone=True, spot=False)
     scaler = FleetScaler(settings, inventory, registry, clock)
     queue = SimpleNamespace(team=Team("red"), stuck=[registry.jobs["j-000001"]])
-    scaler.note_stuck([queue])
+    scaler.record_blocked_jobs([queue])
 
     def zones():
-        (tasks,) = scaler.waiting()
+        (tasks,) = scaler.waiting_tasks()
         assert tasks.count == 6 and tasks.urgent
         return [zone for zone in "ab" if tasks.rule.allows(zone)]
 
--- a/tests/test_report_evaluation.py
+++ b/tests/test_report_evaluation.py
@@ -5,7 +5,7 @@
 from msgspec import structs
 
 from mosswalk.fleet.inventory import Inventory, Machine
-from mosswalk.fleet.report_evaluation import evaluate_report, kills_of_closed
+from mosswalk.fleet.report_evaluation import evaluate_report, kill_commands_for_closed_jobs
 from mosswalk.jobs.state import Job, new_record
 from mosswalk.store.records import Attempt
 from mosswalk.wire.workers import Report, TaskReport
@@ -17,7 +17,7 @@
 
 def machine():
     made = Machine("vm-1", "small", "a", False, "up", 0, 0)
-    made.tenure, made.epoch = 2, 7
+    made.session, made.term = 2, 7
     return made
 
 
@@ -51,9 +51,9 @@
 
 def test_an_exit_is_not_reaped_while_its_start_may_still_arrive():
     late = machine()
-    late.unanswered[("j-1/0", 4)] = (7, 2)
+    late.unanswered_starts[("j-1/0", 4)] = (7, 2)
     assert verbs(look([listed("exited", "error")], attempts={}, on=late)) == []
-    late.unanswered[("j-1/0", 4)] = (6, 2)
+    late.unanswered_starts[("j-1/0", 4)] = (6, 2)
     assert verbs(look([listed("exited", "error")], attempts={}, on=late)) != []
 
 
@@ -69,7 +69,7 @@
     # The answer to /orders may overtake our answer to the worker's report.
     assert look(stop=0.0, in_answer=False).outcomes == []
     late = machine()
-    late.unanswered[("j-1/0", 4)] = (7, 2)
+    late.unanswered_starts[("j-1/0", 4)] = (7, 2)
     assert look(stop=0.0, on=late).outcomes == []
 
 
@@ -79,9 +79,9 @@
         ("run", "j-1/0", 4),
     ]
     stopped = look([listed("running")], stop=2.5)
-    assert stopped.orders[0].grace_s == 2.5
-    assert look([listed("saving")], stop=2.5).orders == []
-    assert look([listed("saving")], stop=0.0).orders[0].grace_s == 0.0
+    assert stopped.commands[0].grace_s == 2.5
+    assert look([listed("saving")], stop=2.5).commands == []
+    assert look([listed("saving")], stop=0.0).commands[0].grace_s == 0.0
 
 
 @given(
@@ -98,9 +98,9 @@
     phase, cause, tenure, epoch, stop, may_start, in_answer, pending
 ):
     on = machine()
-    on.tenure = tenure
+    on.session = tenure
     if pending:
-        on.unanswered[("j-1/0", 4)] = pending
+        on.unanswered_starts[("j-1/0", 4)] = pending
     tasks = [] if phase == "absent" else [listed(phase, cause)]
     got = look(
         tasks,
@@ -111,9 +111,9 @@
         may_start=may_start,
         in_answer=in_answer,
     )
-    starts = [o for o in got.orders if o.op == "run"]
+    starts = [o for o in got.commands if o.op == "run"]
     assert not (starts and got.outcomes)
-    assert not any(o.op == "reap" for o in got.orders)
+    assert not any(o.op == "reap" for o in got.commands)
     if phase in ("pulling", "running", "saving", "dreaming"):
         assert not got.outcomes and not starts
     if stop is not None or tenure != 2:
@@ -126,14 +126,14 @@
     inventory = Inventory()
     inventory.machines["vm-1"] = machine()
     inventory.remove("vm-1", 0)
-    assert inventory.gone("vm-1") and "vm-1" not in inventory.machines
+    assert inventory.is_gone("vm-1") and "vm-1" not in inventory.machines
 
 
 def test_an_image_leaves_the_cache_when_the_worker_would_drop_it():
     on = machine()
     for name, size in (("a", 10.0), ("b", 6.0), ("a", 10.0), ("c", 8.0)):
-        on.used_image(name, size, 20.0)
-    assert list(on.images) == ["a", "c"]
+        on.record_image_use(name, size, 20.0)
+    assert list(on.cached_images) == ["a", "c"]
 
 
 def test_one_that_only_keeps_tasks_alive_ends_those_that_may_be_withdrawn():
@@ -143,7 +143,7 @@
     tasks = [TaskReport(f"j-{i}/0", 1, "running") for i in (1, 2, 3)]
     tasks.append(TaskReport("j-4/0", 1, "exited", "done"))
     report = Report("vm-1", "h:1", "small", "a", 2, 50, 7, tasks=tuple(tasks))
-    kills = kills_of_closed(report, jobs)
+    kills = kill_commands_for_closed_jobs(report, jobs)
     assert [(k.op, k.task, k.grace_s) for k in kills] == [
         ("kill", "j-2/0", 0.0),
         ("kill", "j-3/0", 0.0),
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -12,19 +12,19 @@
 from mosswalk.config.operator import FactoryTuning
 from mosswalk.factory import consolidate
 from mosswalk.factory.loop import Factory
-from mosswalk.factory.view import MachineView, Rent, View
+from mosswalk.factory.view import FleetView, MachineView, Rent
 from mosswalk.fleet.inventory import Inventory, Machine
 from mosswalk.fleet.manager import FleetManager
 from mosswalk.fleet.outcome_sender import OutcomeSender
 from mosswalk.jobs.registry import JobRegistry
-from mosswalk.jobs.state import Draft, Place
+from mosswalk.jobs.state import Assignment, Draft
 from mosswalk.peers import MAX_MESSAGE_BYTES
 from mosswalk.placement import preemption
-from mosswalk.placement.capacity import Room
+from mosswalk.placement.capacity import FreeCapacity
 from mosswalk.store import records
 from mosswalk.store.records import Attempt, TermRecord
 from mosswalk.store.writer import Change
-from mosswalk.wire.peers import Offer, Outcome, SlotOffer, TeamOffer
+from mosswalk.wire.peers import MachineOffer, Offer, Outcome, TeamOffer
 from mosswalk.wire.workers import Report, TaskReport
 from tests.standins import LIMITS, FakeClock, shape
 from tests.test_config import write
@@ -73,13 +73,23 @@
     registry, owner = JobRegistry(mirror), SimpleNamespace(outcomes=lambda message: None)
     leadership = Led()
     manager = FleetManager(settings, mirror, registry, None, leadership, owner, None, None, clock)
-    manager._leading, manager._intake._first_epoch = True, 3
+    manager._leading, manager._report_intake._first_term = True, 3
     manager._plan_scheduled = False
     manager.inventory.types = {"small": shape()}
     for i in range(MACHINES):
         name = f"vm-{i:06d}"
         manager.inventory.machines[name] = Machine(
-            name, "small", "a", False, "up", 0, 0, "x", hears=True, seen_us=clock.us, tenure=1
+            name,
+            "small",
+            "a",
+            False,
+            "up",
+            0,
+            0,
+            "x",
+            has_acknowledged_leader=True,
+            last_seen_at_us=clock.us,
+            session=1,
         )
     offers, counts = manager._offers, SimpleNamespace(built=0, plans=0)
 
@@ -201,7 +211,7 @@
 def test_a_leader_that_begins_while_the_cloud_is_down_uses_the_room_there_is_but_rents_none(led):
     manager = led.manager
     shapes = Raw(records.encode([shape(price=0.0, spot_price=0.0)]))
-    led.mirror.commit(Change({}, {records.TYPES_KEY: shapes}))
+    led.mirror.commit(Change({}, {records.MACHINE_TYPES_KEY: shapes}))
     manager.inventory.types = {}
     manager._listed = manager._first = True
     manager._know_types()
@@ -255,7 +265,7 @@
     owner = SimpleNamespace(outcomes=told.append)
     sender = OutcomeSender(led.registry, led.leadership, owner, None, None, led.clock)
     for index in range(tasks):
-        sender.reported(Outcome(f"j-000001/{index}", index + 1, "vm-000000", "done"))
+        sender.add_reported(Outcome(f"j-000001/{index}", index + 1, "vm-000000", "done"))
     sender.send_due()
     return sender, told
 
@@ -266,12 +276,12 @@
     submit(led.mirror, id="j-000002", tasks=1)
     job = led.registry.jobs["j-000002"]
     draft = Draft(job, LIMITS)
-    draft.place(Place(0, "vm-000001", 1), 1)
-    led.mirror.commit(draft.change({}))
+    draft.place(Assignment(0, "vm-000001", 1), 1)
+    led.mirror.commit(draft.to_change({}))
     looks = []
     attempts_on = led.registry.attempts_on
     led.registry.attempts_on = lambda name: looks.append(name) or attempts_on(name)
-    sender.reported(Outcome("j-000002/0", 1, "vm-000001", "done"))
+    sender.add_reported(Outcome("j-000002/0", 1, "vm-000001", "done"))
     sender.send_new()
     assert [len(message.outcomes) for message in told] == [200, 1]
     assert looks == ["vm-000001"]
@@ -286,8 +296,8 @@
 def test_what_the_records_show_is_told_no_more(led):
     sender, told = outcome_sender(led, tasks=3)
     draft = Draft(led.registry.jobs["j-000001"], LIMITS)
-    draft.settle(0, 1, "done")
-    led.mirror.commit(draft.change({}))
+    draft.record_outcome(0, 1, "done")
+    led.mirror.commit(draft.to_change({}))
     led.clock.us += S
     sender.send_due()
     assert [o.task for o in told[1].outcomes] == ["j-000001/1", "j-000001/2"]
@@ -297,10 +307,10 @@
     inventory = Inventory()
     for index in range(2 * LARGE_FLEET):
         inventory.remove(f"vm-{index:06d}", index)
-    assert all(inventory.gone(f"vm-{index:06d}") for index in range(2 * LARGE_FLEET))
+    assert all(inventory.is_gone(f"vm-{index:06d}") for index in range(2 * LARGE_FLEET))
     # Later only some of them are kept.
     inventory.remove("vm-900000", 3600 * S)
-    assert inventory.gone("vm-900000") and not inventory.gone("vm-000000")
+    assert inventory.is_gone("vm-900000") and not inventory.is_gone("vm-000000")
 
 
 def test_reading_the_list_of_a_large_fleet_leaves_most_cloud_calls_for_rents(led):
@@ -343,14 +353,14 @@
     ]
     factory = Factory(FactoryTuning(high_dwell_s=0.0))
     types = {"small": shape(zones=("a",))}
-    decided = factory.decide(View(0, types, machines, [waiting], 9))
+    decided = factory.decide(FleetView(0, types, machines, [waiting], 9))
     assert any(isinstance(d, Rent) and pool in d.pools for d in decided)
 
 
 def test_room_on_a_large_fleet_fits_a_message_to_its_owner():
     images = tuple(f"registry/team/image-{i:03d}" for i in range(10))
     slots = tuple(
-        SlotOffer(
+        MachineOffer(
             f"vm-{i:06d}",
             "vembanad-mid",
             "kakkanad-hall",
@@ -378,7 +388,7 @@
     rooms, running = [], {}
     for index in range(LARGE_FLEET):
         name = f"vm-{index:06d}"
-        rooms.append(Room(name, "small", "a", False, 1, 0, 0, 16_000))
+        rooms.append(FreeCapacity(name, "small", "a", False, 1, 0, 0, 16_000))
         there = 4 if index % 1000 == 0 else 1
         running[name] = [
             preemption.Victim(small, Attempt(4 * index + i, 4 * index + i + 1, name, 1, 1))
@@ -396,8 +406,8 @@
     """On a calm day each turn would copy all rooms for every machine with a few replicas."""
     job = queued("j-000001", tasks=LARGE_FLEET, cpus=1.0, kind="daemon")
     hosts = [
-        consolidate.Host(
-            Room(f"vm-{i:06d}", "small", "a", False, 1, 0, 0, 0),
+        consolidate.ReplicaHost(
+            FreeCapacity(f"vm-{i:06d}", "small", "a", False, 1, 0, 0, 0),
             0.25,
             1.0,
             [(job, Attempt(i, i + 1, f"vm-{i:06d}", 1, 1))],
@@ -409,7 +419,7 @@
     monkeypatch.setattr(
         consolidate, "_can_be_emptied", lambda host, *_: looks.append(host) or False
     )
-    assert consolidate.to_empty(hosts, {}) is None
+    assert consolidate.choose_machine_to_drain(hosts, {}) is None
     assert 0 < len(looks) <= 64
 
 
@@ -446,6 +456,6 @@
     """Owners gather outcomes until they are told the next: gangs began half a second late."""
     sender, told = outcome_sender(led, tasks=3)
     led.clock.us += 750_000
-    sender.reported(Outcome("j-000001/0", 1, "vm-000000", "done"))
+    sender.add_reported(Outcome("j-000001/0", 1, "vm-000000", "done"))
     sender.send_new()
     assert [len(message.outcomes) for message in told] == [3, 3]
