--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -1,16 +1,23 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from mosswalk.fleet.silence import SilenceLimits, quiet_zones, reclaimed, to_release
+from mosswalk.fleet.silence import (
+    SilenceLimits,
+    is_reclaimed,
+    machines_to_release,
+    zones_with_many_late,
+)
 
 S = 1_000_000
-PATIENCE = SilenceLimits(quiet_us=4 * S, silent_us=7 * S, lease_us=16 * S, kept_us=38 * S)
+PATIENCE = SilenceLimits(
+    late_after_us=4 * S, silent_after_us=7 * S, lease_us=16 * S, kept_alive_lease_us=38 * S
+)
 
 
 def release(silences, cut_off=(), zone=lambda name: "z"):
     zone_of = {name: zone(name) for name in silences}
-    return to_release(
-        silences, PATIENCE, zone_of, quiet_zones(silences, PATIENCE, zone_of), cut_off
+    return machines_to_release(
+        silences, PATIENCE, zone_of, zones_with_many_late(silences, PATIENCE, zone_of), cut_off
     )
 
 
@@ -40,11 +47,11 @@
 
 
 def test_a_machine_whose_notice_is_over_need_miss_one_report_only():
-    assert reclaimed(3 * S, 10 * S, 11 * S, PATIENCE)
-    assert not reclaimed(3 * S, 12 * S, 11 * S, PATIENCE) and not reclaimed(
+    assert is_reclaimed(3 * S, 10 * S, 11 * S, PATIENCE)
+    assert not is_reclaimed(3 * S, 12 * S, 11 * S, PATIENCE) and not is_reclaimed(
         1 * S, 10 * S, 11 * S, PATIENCE
     )
-    assert not reclaimed(6 * S, None, 11 * S, PATIENCE)
+    assert not is_reclaimed(6 * S, None, 11 * S, PATIENCE)
 
 
 def test_a_cut_is_seen_by_zone_and_outlasts_those_who_may_keep_it_alive():
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from mosswalk.config.sockets import sockets
+from mosswalk.config.sockets import socket_budget
 from mosswalk.fleet.command_sender import CommandSender
 from mosswalk.fleet.inventory import Inventory, Machine
 from tests.standins import FakeClock
@@ -13,8 +13,8 @@
 
 @given(st.integers(200, 5000))
 def test_what_is_shared_out_leaves_sockets_for_users(most):
-    budget = sockets(most)
-    assert budget.calls + budget.orders + budget.workers <= most * 0.96
+    budget = socket_budget(most)
+    assert budget.calls + budget.commands + budget.workers <= most * 0.96
 
 
 def test_connections_for_orders_are_closed_as_the_fleet_grows():
@@ -22,7 +22,7 @@
 
     async def run():
         inventory = Inventory()
-        budget = sockets(1551)
+        budget = socket_budget(1551)
         pushes = CommandSender(
             inventory,
             None,
@@ -42,7 +42,7 @@
             assert kept == min(count, max(0, budget.workers - count))
         for name in list(inventory.machines)[200:]:
             inventory.remove(name, 0)
-            pushes.forget(name)
+            pushes.remove_machine(name)
         assert all(pushes._may_keep(name) for name in inventory.machines)
 
     asyncio.run(run())
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -123,7 +123,7 @@
                 if row:
                     told.append((key, bytes(row.value), row.version))
             elif move == "tell" and told:
-                mirror.apply_read(*told.pop(0))
+                mirror.apply_response(*told.pop(0))
             elif move in ("put", "own"):
                 value = str(count).encode()
                 write = wire.Write(key=key, value=Raw(value))
@@ -133,10 +133,10 @@
             elif move == "delete":
                 store.commit(wire.Transaction((), (wire.Write(delete=key),)))
         for late in told:
-            mirror.apply_read(*late)
+            mirror.apply_response(*late)
         await mirror._follow()
         for late in told:
-            mirror.apply_read(*late)
+            mirror.apply_response(*late)
 
     asyncio.run(run())
     assert {k: mirror.value(k) for k in mirror.keys("m/")} == {
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -8,11 +8,11 @@
 from hypothesis import strategies as st
 from msgspec import Raw
 
-from mosswalk.jobs.state import Draft, Job, Place, new_record, withdraw_change
+from mosswalk.jobs.state import Assignment, Draft, Job, new_record, withdraw_change
 from mosswalk.leadership.terms import needs_new_term, next_term
-from mosswalk.leadership.upgrade import eligible, may_upgrade
+from mosswalk.leadership.upgrade import eligible_runs, may_upgrade
 from mosswalk.store import records
-from mosswalk.store.records import GANG_VERSION, OUR_VERSION, Presence, TermRecord
+from mosswalk.store.records import CURRENT_VERSION, GANG_VERSION, Presence, TermRecord
 from mosswalk.wire import peers
 from mosswalk.wire import state as wire
 from tests.production import records as production
@@ -34,7 +34,7 @@
 SENT = {
     "Offer": peers.Offer(
         3,
-        (peers.TeamOffer("red", (peers.SlotOffer("vm-1", "small", "a", True, 1, 5, 0, 9),)),),
+        (peers.TeamOffer("red", (peers.MachineOffer("vm-1", "small", "a", True, 1, 5, 0, 9),)),),
         {"vm-2": "b"},
     ),
     "OfferAnswer": peers.OfferAnswer(12, 3),
@@ -63,8 +63,8 @@
 @given(jobs.filter(lambda job: job.kind != "group"), st.integers(1, 300), st.booleans())
 def test_a_job_goes_through_the_hands_of_both_versions_unchanged(job, chunk, withdrawn):
     draft = Draft(Job(new_record(job, 5, chunk), 1), LIMITS)
-    draft.place(Place(0, "vm-000001", 1), 3)
-    change = draft.change({})
+    draft.place(Assignment(0, "vm-000001", 1), 3)
+    change = draft.to_change({})
     if withdrawn:
         record = records.decode_job_record(bytes(change.puts[records.job_key(job.id)]))
         change = withdraw_change(Job(record, 2), 7)
@@ -75,7 +75,7 @@
 
 
 def test_the_old_version_reads_presences_and_terms_before_the_upgrade_only():
-    presence = records.encode(Presence("a", "run", OUR_VERSION))
+    presence = records.encode(Presence("a", "run", CURRENT_VERSION))
     assert production.decode(production.Presence, presence) == production.Presence("a", "run")
     old = production.encode(production.Presence("a", "run"))
     assert records.decode_presence(old) == Presence("a", "run", records.FIRST_VERSION)
@@ -95,7 +95,7 @@
 
 presences = st.dictionaries(
     st.sampled_from("abc"),
-    st.builds(Presence, st.just("x"), st.sampled_from("pq"), st.sampled_from([1, OUR_VERSION])),
+    st.builds(Presence, st.just("x"), st.sampled_from("pq"), st.sampled_from([1, CURRENT_VERSION])),
 )
 
 
@@ -106,9 +106,9 @@
     for present in seen:
         all_new = set(present) == set("abc") and all(p.version > 1 for p in present.values())
         assert may_upgrade(term, "abc", present) == (all_new and not upgraded)
-        version = OUR_VERSION if may_upgrade(term, "abc", present) else 1
+        version = CURRENT_VERSION if may_upgrade(term, "abc", present) else 1
         upgraded = upgraded or all_new
-        runs = eligible(term, {**present, "a": Presence("a", "p", OUR_VERSION)})
+        runs = eligible_runs(term, {**present, "a": Presence("a", "p", CURRENT_VERSION)})
         if upgraded and term.version > 1:
             # One of the old version that joins all the same gets no team and starts no new term.
             assert all(present[n].version > 1 for n in runs if n != "a")
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from mosswalk.wire.peers import Offer, Outcomes, SlotOffer, TeamOffer
+from mosswalk.wire.peers import MachineOffer, Offer, Outcomes, TeamOffer
 from mosswalk.wire.users import InvalidJobError, JobSpec, decode_job, peek_id
 from mosswalk.wire.workers import Report
 
@@ -136,11 +136,11 @@
     }
     report = msgspec.json.decode(json.dumps(body).encode(), type=Report)
     assert report.tasks[0].phase == "dreaming"
-    assert not report.spot and report.notice_s is None
+    assert not report.spot and report.spot_notice_s is None
 
 
 def test_peer_messages_survive_the_wire():
-    slot = SlotOffer("vm-1", "g8", "a", True, 3, 1000, 0, 2000, ("img",), 0.5)
+    slot = MachineOffer("vm-1", "g8", "a", True, 3, 1000, 0, 2000, ("img",), 0.5)
     offer = Offer(7, (TeamOffer("red", (slot,)),))
     assert msgspec.msgpack.decode(msgspec.msgpack.encode(offer), type=Offer) == offer
     with pytest.raises(msgspec.DecodeError):
--- a/tests/test_withdrawing.py
+++ b/tests/test_withdrawing.py
@@ -6,7 +6,7 @@
 import pytest
 
 from mosswalk.fleet.inventory import Machine
-from mosswalk.fleet.upkeep import Upkeep
+from mosswalk.fleet.record_maintenance import RecordMaintenance
 from mosswalk.peers.withdrawal_broadcast import WithdrawalBroadcast
 from mosswalk.store import records
 from mosswalk.store.client import ConflictError
@@ -75,10 +75,10 @@
             ["moss-1"], Peers(), 40 * S, clock, random.Random(1)
         )
         work = asyncio.ensure_future(withdrawal_broadcast.run())
-        withdrawal_broadcast.tell(Withdrawal("j-000001", b"{}", 7))
+        withdrawal_broadcast.enqueue(Withdrawal("j-000001", b"{}", 7))
         await asyncio.sleep(2)
         assert told == [["j-000001"]] * 2
-        withdrawal_broadcast.tell(Withdrawal("j-000002", None, 8))
+        withdrawal_broadcast.enqueue(Withdrawal("j-000002", None, 8))
         await asyncio.sleep(0.1)
         clock.us += 41 * S
         await asyncio.sleep(2)
@@ -102,7 +102,7 @@
         await asyncio.sleep(20)
         controller = region.controllers[region.leader()][0]
         assert "j-000001" not in controller.registry.jobs
-        controller.withdrawn_elsewhere(Withdrawals(tuple(told)))
+        controller.apply_peer_withdrawals(Withdrawals(tuple(told)))
         assert len(told) == 1 and "j-000001" not in controller.registry.jobs
 
     play(run())
@@ -132,17 +132,17 @@
             deleted.extend(change.deletes)
 
         controller.writer.commit = commit
-        upkeep = Upkeep(
+        upkeep = RecordMaintenance(
             controller.settings,
             controller.mirror,
             controller.registry,
             controller.writer,
             controller.leadership,
         )
-        await upkeep.clear_orphans()
+        await upkeep.remove_orphaned_chunks()
         assert kept not in deleted
         del region.state.store.rows[records.job_key("j-000001")]
-        await upkeep.clear_orphans()
+        await upkeep.remove_orphaned_chunks()
         assert deleted == [kept, gone]
 
     play(run())
@@ -162,17 +162,20 @@
         assert isinstance(machine, Machine)
         ((name, number),) = machine.tasks
         job = controller.registry.jobs["j-000001"]
-        (attempt,) = job.live()
+        (attempt,) = job.live_attempts()
         sent = []
         controller.manager._command_sender._post = lambda *args: (
             sent.append(args) or asyncio.sleep(0)
         )
-        machine.unanswered[(name, number)] = (controller.leadership.epoch(), machine.tenure)
-        controller.manager._attempt_appeared(machine.name, job, attempt)
+        machine.unanswered_starts[(name, number)] = (
+            controller.leadership.term_number(),
+            machine.session,
+        )
+        controller.manager._on_attempt_recorded(machine.name, job, attempt)
         await asyncio.sleep(0.1)
         assert sent == []
-        machine.unanswered.clear()
-        controller.manager._attempt_appeared(machine.name, job, attempt)
+        machine.unanswered_starts.clear()
+        controller.manager._on_attempt_recorded(machine.name, job, attempt)
         await asyncio.sleep(0.1)
         assert len(sent) == 1
 
