--- a/tests/fault_injection.py
+++ b/tests/fault_injection.py
@@ -365,8 +365,8 @@
             "kind": kind,
             "one_zone": rng.random() < 0.35,
             "image": rng.choice(["img", "img2"]),
-            "checkpoint_s": 0.0 if kind == "daemon" else rng.choice([0.0, 15.0]),
-            "save_s": 6.0,
+            "checkpoint_interval_s": 0.0 if kind == "daemon" else rng.choice([0.0, 15.0]),
+            "checkpoint_duration_s": 6.0,
             "priority": "prod" if kind == "daemon" else rng.choice(["standard", "idle"]),
         }
         if kind == "daemon" and not changes["one_zone"]:
--- a/tests/gangs.py
+++ b/tests/gangs.py
@@ -99,8 +99,8 @@
     def _save(self, attempt: Attempt, spec, there: dict[Key, Worker], whole: bool) -> None:
         now = self.region.now()
         if whole and attempt.told == {task for task, _ in there}:
-            if now >= attempt.stopped + spec.save_s:
+            if now >= attempt.stopped + spec.checkpoint_duration_s:
                 self.region.counts["gangs_saved"] += 1
                 self._exit(there, "stopped")
-        elif now >= attempt.stopped + max(GANG_PEER_S, spec.save_s):
+        elif now >= attempt.stopped + max(GANG_PEER_S, spec.checkpoint_duration_s):
             self._exit(there, "mates_gone")
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -167,8 +167,8 @@
         "spread": False,
         "spot": True,
         "estimate_s": 30.0,
-        "checkpoint_s": 0.0,
-        "save_s": 0.0,
+        "checkpoint_interval_s": 0.0,
+        "checkpoint_duration_s": 0.0,
     }
     return JobSpec(**{**fields, **changes})
 
--- a/tests/test_authority.py
+++ b/tests/test_authority.py
@@ -94,13 +94,13 @@
     async def run():
         await node.lead()
         node.clock.us += WINDOW_US
-        assert node.leadership.may_start() and node.leadership.may_answer()
+        assert node.leadership.may_start_tasks() and node.leadership.may_renew_worker_leases()
         node.freeze()
-        assert not node.leadership.may_answer()
-        assert not node.leadership.may_start()
+        assert not node.leadership.may_renew_worker_leases()
+        assert not node.leadership.may_start_tasks()
         assert node.fence.freezes == 1
         await node.fence.confirm()
-        assert node.leadership.may_answer()
+        assert node.leadership.may_renew_worker_leases()
 
     asyncio.run(run())
 
@@ -112,7 +112,7 @@
         node.freeze()
         assert node.leadership.leads()
         await node.fence.confirm()
-        assert not node.leadership.leads() and not node.leadership.may_answer()
+        assert not node.leadership.leads() and not node.leadership.may_renew_worker_leases()
         assert node.leadership.lease is None
 
     with caplog.at_level("INFO"):
@@ -205,12 +205,12 @@
         await node.lead()
         node.freeze()
         node.served = False
-        assert not node.leadership.may_answer()
+        assert not node.leadership.may_renew_worker_leases()
         with pytest.raises(RefusedError):
             await node.fence.confirm()
-        assert node.leadership.may_answer() and not node.leadership.may_start()
-        node.clock.us += node.leadership.bound_us
-        assert not node.leadership.may_answer()
+        assert node.leadership.may_renew_worker_leases() and not node.leadership.may_start_tasks()
+        node.clock.us += node.leadership.max_unconfirmed_us
+        assert not node.leadership.may_renew_worker_leases()
 
     asyncio.run(run())
 
@@ -221,7 +221,7 @@
         sent = node.client.commits
         node.freeze()
         with pytest.raises(RefusedError):
-            await node.leadership._stand("test")
+            await node.leadership._campaign("test")
         assert node.client.commits == sent
 
     asyncio.run(run())
@@ -268,8 +268,8 @@
             random.Random(1),
             100.0,
             told.append,
-            node.leadership.may_start,
-            node.leadership.may_answer,
+            node.leadership.may_start_tasks,
+            node.leadership.may_renew_worker_leases,
         )
         await caller.rent((1,), ("small", "a", False))
         # Not asked again under the same name: what it brought is the next leader's.
@@ -306,8 +306,8 @@
     state, clock = StateThread(), SystemClock()
     state.start()
     assert state.ready.wait(5)
-    holder = SimpleNamespace(lease=state.lease, lease_us=clock.now_us())
-    progress = SimpleNamespace(progress_us=clock.now_us())
+    holder = SimpleNamespace(lease=state.lease, lease_renewed_at_us=clock.now_us())
+    progress = SimpleNamespace(last_progress_at_us=clock.now_us())
     renewer = LeaseRenewer(
         f"127.0.0.1:{state.port}", holder, progress, clock, ttl_s=1.0, renew_s=0.2, progress_s=0.6
     )
@@ -317,7 +317,7 @@
     for _ in range(30):
         time.sleep(0.1)
         if alive:
-            progress.progress_us = clock.now_us()
+            progress.last_progress_at_us = clock.now_us()
     assert (state.lease in state.service.deadlines) is alive
     assert renewer.renewals > 0
     renewer.stop()
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -160,7 +160,9 @@
 
         def heard():
             # Copies of a rent that lost may still be there: only those with tasks are counted.
-            return {m.name for m in manager.inventory.machines.values() if m.hears} & used
+            return {
+                m.name for m in manager.inventory.machines.values() if m.has_acknowledged_leader
+            } & used
 
         await until(lambda: heard() == used)
         # Every one reports to the new leader, none has lost its lease, none is given up.
@@ -283,7 +285,7 @@
 
 
 def test_a_leader_that_no_worker_reaches_hands_over_before_their_leases_end(monkeypatch):
-    monkeypatch.setattr(manager, "TAKEOVER_US", 1_000_000)
+    monkeypatch.setattr(manager, "WORKER_RECONNECT_US", 1_000_000)
 
     async def test(world, users):
         world.services.add("j-000075")
@@ -303,7 +305,7 @@
 
 
 def test_workers_of_a_zone_that_is_cut_off_are_kept_alive_there(monkeypatch):
-    monkeypatch.setattr(health, "FRESH_US", 1_500_000)
+    monkeypatch.setattr(health, "MAX_CONFIRMATION_AGE_US", 1_500_000)
     monkeypatch.setattr(mirror, "_HOLD_MS", 300)
 
     async def test(world, users):
--- a/tests/test_detection.py
+++ b/tests/test_detection.py
@@ -102,8 +102,8 @@
 def heard_for(peer, from_us, until_us, step_us=S // 2, listening_us=0):
     now_us = from_us
     while now_us <= until_us:
-        peer.heard("run", now_us, listening_us)
-        peer.observe(now_us, listening_us)
+        peer.record_contact("run", now_us, listening_us)
+        peer.update_state(now_us, listening_us)
         now_us += step_us
     return now_us - step_us
 
@@ -158,12 +158,12 @@
 
 def flap(peer, now_us):
     peer.probed = True
-    peer.observe(now_us, 0)
+    peer.update_state(now_us, 0)
     assert peer.suspected
     begun_us = now_us
     while peer.suspected:
-        peer.heard("run", now_us, 0)
-        peer.observe(now_us, 0)
+        peer.record_contact("run", now_us, 0)
+        peer.update_state(now_us, 0)
         now_us += S // 2
     return now_us, now_us - begun_us
 
--- a/tests/test_detection_cluster.py
+++ b/tests/test_detection_cluster.py
@@ -49,13 +49,13 @@
 
 def in_force(region):
     found = [
-        c.detector is not None and c.detector.in_force() for c, _ in region.controllers.values()
+        c.detector is not None and c.detector.is_active() for c, _ in region.controllers.values()
     ]
     return bool(found) and all(found)
 
 
 def epoch(region):
-    return max(c.leadership.epoch() for c, _ in region.controllers.values())
+    return max(c.leadership.term_number() for c, _ in region.controllers.values())
 
 
 def controller(region, name):
@@ -182,7 +182,7 @@
         await asyncio.gather(*(freeze_one(region, name, 4.0) for name in names))
         await asyncio.sleep(10.0)
         assert epoch(region) == before and not history(region).verdicts()
-        assert not any(c.detector.figures().suspicions for c, _ in region.controllers.values())
+        assert not any(c.detector.metrics().suspicions for c, _ in region.controllers.values())
 
     begin(test)
 
@@ -266,7 +266,7 @@
         others = list(region.controllers)
         assert all(state(region, o, leader).state == "silent" for o in others)
         assert len(history(region).terms) == began
-        assert not any(controller(region, o).detector.figures().verdicts for o in others)
+        assert not any(controller(region, o).detector.metrics().verdicts for o in others)
         region.state.end_outage()
         await region.until(lambda: region.leader() is not None, 20.0)
         assert history(region).verdicts()[-1].node == leader
@@ -491,7 +491,7 @@
         detector._heartbeats.received[third] = word
         detector._judge_one(peer, now_us + 10_000_000, 0)
         await asyncio.sleep(1.0)
-        assert not detector.figures().verdicts and not history(region).verdicts()
+        assert not detector.metrics().verdicts and not history(region).verdicts()
 
     begin(test)
 
@@ -504,9 +504,9 @@
         names = [follower(region), follower(region, 1), follower(region)]
         for age_s, name in zip((5, 4, 9), names, strict=True):
             peer = state(region, leader, name)
-            peer.heard_us = detector._clock.now_us() - age_s * 1_000_000
+            peer.last_heard_at_us = detector._clock.now_us() - age_s * 1_000_000
             await detector._fence_off(peer, Verdict(name, peer.run, "quorum"), 1)
-            assert detector.figures().time_to_verdict_s == pytest.approx(age_s, abs=0.01)
+            assert detector.metrics().time_to_verdict_s == pytest.approx(age_s, abs=0.01)
 
     begin(test)
 
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -64,8 +64,8 @@
         return self.registry.jobs.get(GANG_JOB.id)
 
     def commit(self, draft):
-        if draft.changed():
-            self.mirror.commit(draft.change({}))
+        if draft.has_changes():
+            self.mirror.commit(draft.to_change({}))
         if self.job:
             self.live = {a.task: a for a in self.job.live_attempts()}
 
@@ -82,14 +82,16 @@
         self.highest = max(a.number for a in self.live.values())
         self.lost = False
 
-    @precondition(lambda self: self.job and self.job.record.gang == "placing" and self.unwritten)
+    @precondition(
+        lambda self: self.job and self.job.record.gang_phase == "placing" and self.unwritten
+    )
     @rule()
     def write_more(self):
         draft = Draft(self.job, FEW)
         self.unwritten = draft.place_gang(self.unwritten, 3)
         self.commit(draft)
 
-    @precondition(lambda self: self.job and self.job.record.gang == "placing")
+    @precondition(lambda self: self.job and self.job.record.gang_phase == "placing")
     @rule()
     def another_owner_takes_over(self):
         draft = Draft(self.job, FEW)
@@ -103,7 +105,7 @@
     def start(self):
         self.started |= {(a.task, a.number) for a in self.job.live_attempts()}
 
-    @precondition(lambda self: self.job and self.live and self.job.record.gang != "placing")
+    @precondition(lambda self: self.job and self.live and self.job.record.gang_phase != "placing")
     @rule(data=st.data(), kind=st.sampled_from(["done", "lost", "stopped", "refused"]))
     def settle(self, data, kind):
         attempt = self.live[data.draw(st.sampled_from(sorted(self.live)))]
@@ -132,7 +134,7 @@
             self.withdrawn = True
             self.unwritten = []
 
-    @precondition(lambda self: self.job and self.job.record.gang != "placing")
+    @precondition(lambda self: self.job and self.job.record.gang_phase != "placing")
     @rule()
     def split_records(self):
         small = RecordLimits(records.max_header_bytes(GANG_JOB) + 3 * 44, OPS)
@@ -189,7 +191,7 @@
     found = capacities_for_gang(job, places, set())
     assert [r.cpus for r in places] == before
     most = -(-tasks // 2) if spread else tasks
-    there = {z: sum(r.most(job) for r in places if r.zone == z) for z in "ab"}
+    there = {z: sum(r.max_tasks(job) for r in places if r.zone == z) for z in "ab"}
     if one_zone:
         assert (found is not None) == any(min(n, most) >= tasks for n in there.values())
     else:
@@ -197,7 +199,7 @@
     if found is not None:
         assert len(found) == tasks
         taken = {r.machine: sum(f is r for f in found) for r in places}
-        assert all(n <= r.most(job) for r in places for n in [taken[r.machine]])
+        assert all(n <= r.max_tasks(job) for r in places for n in [taken[r.machine]])
         assert not one_zone or len({r.zone for r in found}) == 1
 
 
@@ -300,7 +302,7 @@
     mirror.commit(draft.to_change({}))
     drafts = {}
     owner._end_partly_placed_gangs(drafts)
-    mirror.commit(drafts["j-000001"].change({}))
+    mirror.commit(drafts["j-000001"].to_change({}))
     assert registry.jobs["j-000001"].gang_ending and not registry.jobs["j-000001"].startable
 
 
@@ -344,7 +346,7 @@
         inventory.machines[f"vm-{i}"] = Machine(
             f"vm-{i}", "small", "a", True, "up", 0, 0, session=1
         )
-    submit(mirror, kind="group", tasks=2, checkpoint_s=20.0, save_s=3.0)
+    submit(mirror, kind="group", tasks=2, checkpoint_interval_s=20.0, checkpoint_duration_s=3.0)
     draft = Draft(registry.jobs["j-000001"], LIMITS)
     draft.place_gang([Assignment(0, "vm-0", 1), Assignment(1, "vm-1", 1)], 1)
     mirror.commit(draft.to_change({}))
@@ -381,7 +383,7 @@
     draft.place_gang([Assignment(0, "vm-0000", 1), Assignment(1, "vm-0001", 1)], 1)
     mirror.commit(draft.to_change({}))
     clock, asked = FakeClock(), []
-    leadership = SimpleNamespace(epoch=lambda: 1, want_new_term=lambda: asked.append(True))
+    leadership = SimpleNamespace(term_number=lambda: 1, request_new_term=lambda: asked.append(True))
     late = StaleStarts(inventory, registry, leadership, clock)
     inventory.machines["vm-0000"].session = 1
     inventory.machines["vm-0000"].unanswered_starts = {("j-000001/0", 1): (1, 1)}
--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -34,7 +34,7 @@
     def commit(self, change):
         for key, version in change.guards.items():
             assert self.rows.get(key, (None, 0))[1] == version
-        assert change.size() <= self.ops
+        assert change.write_count() <= self.ops
         self.revision += 1
         for key, value in [*change.puts.items(), *((k, None) for k in change.deletes)]:
             if value is None:
@@ -65,8 +65,8 @@
         return self.registry.jobs.get("j-000001")
 
     def commit(self, draft):
-        if draft.changed():
-            self.mirror.commit(draft.change({}))
+        if draft.has_changes():
+            self.mirror.commit(draft.to_change({}))
 
     @precondition(lambda self: self.job)
     @rule(picks=st.lists(st.integers(-1, TASKS), max_size=8), machine=st.sampled_from("pqr"))
--- a/tests/test_offers.py
+++ b/tests/test_offers.py
@@ -59,9 +59,11 @@
             last_seen_at_us=clock.us,
         )
     term = TermRecord(1, "a", {"red": "a"})
-    leadership = SimpleNamespace(term=term, may_start=lambda: True, suspected=frozenset, node="a")
+    leadership = SimpleNamespace(
+        term=term, may_start_tasks=lambda: True, suspected=frozenset, node="a"
+    )
     renting = SimpleNamespace(
-        cordoned=set(), note_stuck=lambda queues: None, nothing_stuck=lambda: None
+        cordoned=set(), record_blocked_jobs=lambda queues: None, clear_blocked_jobs=lambda: None
     )
     offers = Counted(settings, mirror, registry, inventory, leadership, renting, clock, {})
     return offers, mirror, registry, inventory, clock, settings
@@ -133,7 +135,7 @@
     submit(mirror, tasks=4)
     place(mirror, registry, 3, "vm-0000")
     ample = False
-    writer = SimpleNamespace(ample=lambda: ample, share=lambda part: None)
+    writer = SimpleNamespace(has_spare_rate=lambda: ample, set_rate_share=lambda part: None)
     leadership = SimpleNamespace(owns=lambda team: True, gangs_allowed=lambda: False)
     owner = Owner(settings, mirror, registry, writer, leadership, clock)
 
@@ -145,7 +147,7 @@
         )
         drafts = {}
         owner._apply_outcomes(drafts)
-        return sum(len(d.settled) for d in drafts.values())
+        return sum(len(d.ended) for d in drafts.values())
 
     assert drafted((0, "done")) == 0
     # What must be placed again is written at once, with all that was gathered.
@@ -184,7 +186,7 @@
     assert seen == [*prod, "j-000000", "j-000001", "j-000002", "j-000003"]
     # Until the replicas have a place again, rounds stay short; then all the rest is taken.
     for draft in drafts.values():
-        mirror.commit(draft.change({}))
+        mirror.commit(draft.to_change({}))
     drafts = {}
     owner._apply_outcomes(drafts)
     assert len(drafts) == owner._max_outcome_jobs
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -62,16 +62,16 @@
     if limit and got:
         assert used * 1000 + sum(p.job.cpus for p in got) <= limit * 1000
     for place in places:
-        took = sum(p.job.cpus for p in got if p.room is place)
+        took = sum(p.job.cpus for p in got if p.capacity is place)
         assert place.cpus == before[place.machine] - took >= 0
     for one in made:
-        zones = [p.room.zone for p in got if p.job is one]
+        zones = [p.capacity.zone for p in got if p.job is one]
         if one.spec.one_zone:
             assert len(set(zones)) <= 1
         if one.spec.spread:
             assert all(zones.count(z) <= -(-one.spec.tasks // 2) for z in zones)
         if not one.spec.spot:
-            assert not any(p.room.spot for p in got if p.job is one)
+            assert not any(p.capacity.spot for p in got if p.job is one)
 
 
 def test_live_attempts_count_for_zone_rules_and_an_unknown_zone_blocks():
@@ -128,7 +128,7 @@
 
 
 def victims(*jobs):
-    return {"vm-1": [Victim(j, a) for j in jobs for a in j.live()]}
+    return {"vm-1": [Victim(j, a) for j in jobs for a in j.live_attempts()]}
 
 
 def test_preemption_takes_the_least_urgent_and_no_more_than_needed():
@@ -304,6 +304,6 @@
 
 
 def test_a_stopped_task_saves_only_if_that_is_quicker_than_doing_the_work_again():
-    assert should_checkpoint(spec(checkpoint_s=20.0, save_s=3.0))
-    assert not should_checkpoint(spec(checkpoint_s=15.0, save_s=6.0))
-    assert not should_checkpoint(spec(checkpoint_s=0.0, save_s=0.0))
+    assert should_checkpoint(spec(checkpoint_interval_s=20.0, checkpoint_duration_s=3.0))
+    assert not should_checkpoint(spec(checkpoint_interval_s=15.0, checkpoint_duration_s=6.0))
+    assert not should_checkpoint(spec(checkpoint_interval_s=0.0, checkpoint_duration_s=0.0))
--- a/tests/test_reachability.py
+++ b/tests/test_reachability.py
@@ -36,7 +36,7 @@
     )
     assert deaf.not_receiving_since_us is None
     # A new leader's first answer has not been heard yet when the report before it was made.
-    fresh = machine(hears=False)
+    fresh = machine(has_acknowledged_leader=False)
     fresh.check_answer_received(report(2, epoch=4), 12 * S, LEASE_US)
     assert fresh.not_receiving_since_us is None
     fresh.record_answer(5, (), 12 * S)
@@ -48,7 +48,7 @@
 def test_a_lease_that_runs_out_while_answered_must_be_explained_by_an_answer_to_orders(
     silence_s, answers
 ):
-    one = machine(told_us=10 * S, told_epoch=5)
+    one = machine(last_answer_at_us=10 * S, last_answer_term=5)
     now_us = (10 + silence_s) * S
     one.check_answer_received(report(1, tenure=2), now_us, LEASE_US)
     one.session = 2
--- a/tests/test_renting.py
+++ b/tests/test_renting.py
@@ -36,7 +36,7 @@
     inventory.machines["vm-0002"].zone = "b"
     submit(mirror, kind="group", tasks=6, one_zone=True, spot=False)
     scaler = FleetScaler(settings, inventory, registry, clock)
-    queue = SimpleNamespace(team=Team("red"), stuck=[registry.jobs["j-000001"]])
+    queue = SimpleNamespace(team=Team("red"), unschedulable=[registry.jobs["j-000001"]])
     scaler.record_blocked_jobs([queue])
 
     def zones():
--- a/tests/test_report_evaluation.py
+++ b/tests/test_report_evaluation.py
@@ -23,7 +23,7 @@
 
 def look(tasks=(), attempts=ATTEMPT, tenure=2, epoch=7, stop=None, on=None, **changes):
     report = Report("vm-1", "h:1", "small", "a", tenure, 50, epoch, tasks=tuple(tasks))
-    options = {"may_start": True, "in_answer": True, **changes}
+    options = {"may_start": True, "is_periodic": True, **changes}
     return evaluate_report(
         on or machine(), report, attempts, 7, lambda *_: stop, lambda _: True, **options
     )
@@ -34,7 +34,7 @@
 
 
 def verbs(evaluation):
-    return [(o.op, o.task, o.attempt) for o in evaluation.orders]
+    return [(o.op, o.task, o.attempt) for o in evaluation.commands]
 
 
 def test_a_committed_attempt_is_started_until_the_worker_lists_it():
@@ -67,7 +67,7 @@
     # The worker has not seen our epoch: an earlier leader's order may still be carried out.
     assert look(stop=0.0, epoch=6).outcomes == []
     # The answer to /orders may overtake our answer to the worker's report.
-    assert look(stop=0.0, in_answer=False).outcomes == []
+    assert look(stop=0.0, is_periodic=False).outcomes == []
     late = machine()
     late.unanswered_starts[("j-1/0", 4)] = (7, 2)
     assert look(stop=0.0, on=late).outcomes == []
@@ -109,7 +109,7 @@
         stop=stop,
         on=on,
         may_start=may_start,
-        in_answer=in_answer,
+        is_periodic=in_answer,
     )
     starts = [o for o in got.commands if o.op == "run"]
     assert not (starts and got.outcomes)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -40,24 +40,24 @@
 class Led:
     """Leadership that never ends."""
 
-    node, bound_us, on_term = "a", 20 * S, []
+    node, max_unconfirmed_us, on_term = "a", 20 * S, []
     term = TermRecord(3, "a", {"red": "a"})
 
     def leads(self):
         return True
 
-    may_answer = may_start = leads
+    may_renew_worker_leases = may_start_tasks = leads
 
-    def epoch(self):
+    def term_number(self):
         return 3
 
-    def outbid(self, epoch):
-        assert epoch <= 3
+    def observe_term(self, term):
+        assert term <= 3
 
     def __init__(self):
         self.present = {"a", "b"}
 
-    def present_in(self, zones):
+    def zones_with_controller(self, zones):
         return self.present & set(zones.values())
 
 
@@ -68,9 +68,9 @@
         settings, params=structs.replace(settings.params, teams=(Team("red"),))
     )
     mirror, clock = MirrorOf(), FakeClock()
-    mirror.after_batch = lambda action: None
+    mirror.on_batch_applied = lambda action: None
     mirror.value = lambda key: mirror.rows[key][0] if key in mirror.rows else None
-    registry, owner = JobRegistry(mirror), SimpleNamespace(outcomes=lambda message: None)
+    registry, owner = JobRegistry(mirror), SimpleNamespace(receive_outcomes=lambda message: None)
     leadership = Led()
     manager = FleetManager(settings, mirror, registry, None, leadership, owner, None, None, clock)
     manager._leading, manager._report_intake._first_term = True, 3
@@ -113,30 +113,30 @@
 def report(led, index, tick, *tasks):
     name = f"vm-{index:06d}"
     told = Report(name, "1.2.3.4:5", "small", "a", 1, tick, 3, tasks=tasks)
-    assert led.manager.report(told)[0] == 200
+    assert led.manager.answer_report(told)[0] == 200
 
 
 def test_reports_that_tell_nothing_new_build_no_room_and_ask_for_no_plan(led):
     async def run():
-        led.offers.refresh()
-        assert len(led.offers.rooms()) == MACHINES
+        led.offers.mark_periodic_changes()
+        assert len(led.offers.free_capacities()) == MACHINES
         led.counts.built = led.counts.plans = 0
         for tick in range(1, 4):
             led.clock.us += S
             for i in range(MACHINES):
                 report(led, i, tick)
-        assert led.offers.rooms() and led.counts.built == led.counts.plans == 0
+        assert led.offers.free_capacities() and led.counts.built == led.counts.plans == 0
         # One that has changed costs one.
         submit(led.mirror, tasks=1)
         place(led.mirror, led.registry, 1, "vm-000007")
-        led.offers.rooms()
+        led.offers.free_capacities()
         led.counts.built = 0
         report(led, 7, 4, TaskReport("j-000001/0", 1, "running"))
         report(led, 7, 5, TaskReport("j-000001/0", 1, "running"))
-        led.offers.rooms()
+        led.offers.free_capacities()
         assert led.counts.built == led.counts.plans == 1
         report(led, 7, 6, TaskReport("j-000001/0", 1, "exited", "done"))
-        led.offers.rooms()
+        led.offers.free_capacities()
         assert led.counts.built == led.counts.plans == 2
 
     asyncio.run(run())
@@ -144,12 +144,12 @@
 
 def test_a_machine_heard_of_again_after_a_silence_gives_room_again(led):
     async def run():
-        led.offers.refresh()
+        led.offers.mark_periodic_changes()
         led.clock.us += 60 * S
-        led.offers.refresh()
-        assert led.offers.rooms() == []
+        led.offers.mark_periodic_changes()
+        assert led.offers.free_capacities() == []
         report(led, 5, 1)
-        assert [room.machine for room in led.offers.rooms()] == ["vm-000005"]
+        assert [room.machine for room in led.offers.free_capacities()] == ["vm-000005"]
         assert led.counts.plans == 1
 
     asyncio.run(run())
@@ -160,14 +160,16 @@
     manager, clock = led.manager, led.clock
     zone = manager._settings.zone
     released = []
-    manager.cloud = SimpleNamespace(release=lambda names, served: released.extend(names))
+    manager.cloud = SimpleNamespace(
+        release=lambda names, needs_state_service: released.extend(names)
+    )
     for machine in manager.inventory.machines.values():
         machine.zone = zone
-    manager._since_us = manager._listening_us = clock.us - 60 * S
+    manager._leading_since_us = manager._answering_since_us = clock.us - 60 * S
     led.leadership.present = set()
     silent_us = (
         manager._overdue_machines.silence_limits.lease_us
-        + manager._overdue_machines.silence_limits.silent_us
+        + manager._overdue_machines.silence_limits.silent_after_us
         + 2 * S
     )
     for _ in range(silent_us // S):
@@ -179,7 +181,7 @@
         clock.us += S
         # Most are heard again before the last one.
         for machine in machines[: MACHINES * (second + 1) // 7]:
-            machine.seen_us = clock.us
+            machine.last_seen_at_us = clock.us
         manager._release_overdue()
     assert released == []
     for _ in range(4):
@@ -191,19 +193,21 @@
 def test_a_leader_that_turned_reports_away_hears_the_machines_before_it_releases_any(led):
     """Seen on a recorded day: an outage of 52 s ended, and in that second all were released."""
     manager, clock, released = led.manager, led.clock, []
-    manager.cloud = SimpleNamespace(release=lambda names, served: released.extend(names))
-    led.leadership.may_answer = lambda: False
+    manager.cloud = SimpleNamespace(
+        release=lambda names, needs_state_service: released.extend(names)
+    )
+    led.leadership.may_renew_worker_leases = lambda: False
     for _ in range(104):
         clock.us += S // 2
         manager._tick()
-    led.leadership.may_answer = lambda: True
+    led.leadership.may_renew_worker_leases = lambda: True
     clock.us += S // 2
     manager._release_overdue()
     assert released == []
     clock.us += 8 * S
     machines = list(manager.inventory.machines.values())
     for machine in machines[5:]:
-        machine.seen_us = clock.us
+        machine.last_seen_at_us = clock.us
     manager._release_overdue()
     assert sorted(released) == [machine.name for machine in machines[:5]]
 
@@ -213,12 +217,12 @@
     shapes = Raw(records.encode([shape(price=0.0, spot_price=0.0)]))
     led.mirror.commit(Change({}, {records.MACHINE_TYPES_KEY: shapes}))
     manager.inventory.types = {}
-    manager._listed = manager._first = True
-    manager._know_types()
-    manager._offers.refresh()
-    assert len(manager._offers.rooms()) == MACHINES
+    manager._list_received = manager._is_first_leader = True
+    manager._load_recorded_types()
+    manager._offers.mark_periodic_changes()
+    assert len(manager._offers.free_capacities()) == MACHINES
     assert not manager._ready_to_rent()
-    manager._typed((shape(),))
+    manager._on_types((shape(),))
     assert manager._ready_to_rent()
 
 
@@ -226,18 +230,18 @@
     """A leader lost its workers while the state service was down: every lease ran out."""
     manager, leadership = led.manager, led.leadership
     manager._leading = False
-    leadership.leads, leadership.leader, leadership.may_keep = (
+    leadership.leads, leadership.leader, leadership.may_renew_worker_leases_as_follower = (
         lambda: False,
         lambda: "b",
         lambda: True,
     )
     outage = True
-    manager.follower_reports.nobody_served = lambda: outage
+    manager.follower_reports.no_peer_reaches_state_service = lambda: outage
 
     async def run():
         async def answer(epoch=3):
             told = Report("vm-000001", "1.2.3.4:5", "small", "a", 1, 9, epoch)
-            return manager.report(told)[0]
+            return manager.answer_report(told)[0]
 
         nonlocal outage
         assert await answer() == 421
@@ -245,7 +249,7 @@
         led.clock.us += 4 * S
         assert await answer() == 200
         # It would drop our answer, and stay with us all the same.
-        leadership.outbid = lambda epoch: None
+        leadership.observe_term = lambda term: None
         assert await answer(epoch=4) == 421
         outage = False
         assert await answer() == 421
@@ -262,7 +266,7 @@
     submit(led.mirror, tasks=tasks)
     place(led.mirror, led.registry, tasks, "vm-000000")
     told = []
-    owner = SimpleNamespace(outcomes=told.append)
+    owner = SimpleNamespace(receive_outcomes=told.append)
     sender = OutcomeSender(led.registry, led.leadership, owner, None, None, led.clock)
     for index in range(tasks):
         sender.add_reported(Outcome(f"j-000001/{index}", index + 1, "vm-000000", "done"))
@@ -329,14 +333,14 @@
     for index in range(LARGE_FLEET):
         manager.inventory.adopt(f"vm-{index:06d}", "small", "a", False, "up", 0).address = "x"
     for machine in manager.inventory.machines.values():
-        machine.hears = False
-    manager._since_us = led.clock.us
+        machine.has_acknowledged_leader = False
+    manager._leading_since_us = led.clock.us
     led.clock.us += 10 * S
     turns = manager._lease_us // (S // 2)
     for _ in range(turns):
-        manager._stray_machines.probe(manager._since_us)
+        manager._stray_machines.probe(manager._leading_since_us)
         for name in probed:
-            manager.inventory.machines[name].hears = True
+            manager.inventory.machines[name].has_acknowledged_leader = True
     assert len(set(probed)) == LARGE_FLEET
 
 
@@ -345,7 +349,7 @@
     submit(led.mirror, tasks=LARGE_FLEET, cpus=4.0, spot=False)
     job = led.registry.jobs["j-000001"]
     scaler._stuck = {"red": [job]}
-    (waiting,) = scaler.waiting()
+    (waiting,) = scaler.waiting_tasks()
     assert waiting.count == LARGE_FLEET
     pool = ("small", "a", False)
     machines = [
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -82,7 +82,7 @@
     client.plan.extend(["refused"] * 50)
 
     async def work(writer):
-        return await writer.commit(put("m/a", 0, impatient=True))
+        return await writer.commit(put("m/a", 0, fail_fast=True))
 
     try:
         asyncio.run(with_writer(client, work))
