--- a/tests/detection_trial.py
+++ b/tests/detection_trial.py
@@ -27,9 +27,9 @@
 from msgspec import Struct
 
 from mosswalk.store import records
+from tests.fakes import job_spec
 from tests.loopback import LoopbackCluster, Worker, settings_toml
 from tests.relay import Relay
-from tests.standins import spec
 from tests.term_history import TermHistory
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -208,7 +208,7 @@
             return 0, {}
 
     async def _job(self, number: int) -> None:
-        job = spec(f"j-{number:06d}", tasks=2, team=self.rng.choice(["red", "blue"]))
+        job = job_spec(f"j-{number:06d}", tasks=2, team=self.rng.choice(["red", "blue"]))
         body = msgspec.json.encode(job)
         while job.id not in self.accepted:
             status, _ = await self._ask("POST", "/api/jobs", body)
--- a/tests/standins.py
+++ b/tests/fakes.py
@@ -16,7 +16,7 @@
 from mosswalk.wire.users import JobSpec
 
 # What the records of tests may take.
-LIMITS = RecordLimits(16 * 1024, 16)
+RECORD_LIMITS = RecordLimits(16 * 1024, 16)
 
 
 class FakeClock:
@@ -32,7 +32,7 @@
         return self.us
 
 
-class Store:
+class InMemoryStore:
     """The state service's rules, without a network."""
 
     def __init__(self) -> None:
@@ -89,36 +89,36 @@
             self._delete(key)
 
 
-class FakeClient:
+class FakeStateClient:
     """A state client whose calls fail, or are carried out late, as a test has planned.
 
     Each entry of ``plan`` is used by one commit: ok, refused, lost (never carried out), late
     (carried out when the test calls ``deliver``) or blind (carried out, answer lost).
     """
 
-    def __init__(self, store: Store) -> None:
+    def __init__(self, store: InMemoryStore) -> None:
         self.store = store
-        self.plan: deque[str] = deque()
-        self.held: list[wire.Transaction] = []
-        self.commits = 0
+        self.planned_results: deque[str] = deque()
+        self.delayed_transactions: list[wire.Transaction] = []
+        self.commit_count = 0
 
     async def commit(self, transaction: wire.Transaction, timeout_s: float = 0) -> int:
-        self.commits += 1
-        fate = self.plan.popleft() if self.plan else "ok"
+        self.commit_count += 1
+        fate = self.planned_results.popleft() if self.planned_results else "ok"
         if fate == "refused":
             raise RefusedError("planned")
         if fate == "lost":
             raise UnknownOutcomeError("planned")
         if fate == "late":
-            self.held.append(transaction)
+            self.delayed_transactions.append(transaction)
             raise UnknownOutcomeError("planned")
         revision = self.store.commit(transaction)
         if fate == "blind":
             raise UnknownOutcomeError("planned")
         return revision
 
-    def deliver(self) -> None:
-        held, self.held = self.held, []
+    def commit_delayed(self) -> None:
+        held, self.delayed_transactions = self.delayed_transactions, []
         for transaction in held:
             with contextlib.suppress(ConflictError):
                 self.store.commit(transaction)
@@ -149,7 +149,7 @@
         return msgspec.json.decode(json.dumps(body).encode(), type=wire.Events)
 
 
-def spec(job_id: str = "j-000001", **changes: object) -> JobSpec:
+def job_spec(job_id: str = "j-000001", **changes: object) -> JobSpec:
     """A job that is easy to place."""
     fields: dict = {
         "id": job_id,
@@ -173,7 +173,7 @@
     return JobSpec(**{**fields, **changes})
 
 
-def shape(name: str = "small", **changes: object) -> MachineType:
+def machine_type(name: str = "small", **changes: object) -> MachineType:
     """A machine type."""
     fields: dict = {
         "cpus": 4.0,
--- a/tests/fault_injection.py
+++ b/tests/fault_injection.py
@@ -9,10 +9,10 @@
 from typing import Any
 
 from mosswalk.config.operator import Tuning
+from tests.fakes import job_spec
 from tests.simulated_services import LEASE_S
-from tests.simulation import CANCEL_S, DEFAULT_TUNING, Simulation, need
-from tests.standins import spec
-from tests.virtual import play
+from tests.simulation import CANCEL_S, DEFAULT_TUNING, Simulation, min_cores_to_start
+from tests.virtual_time import run_in_virtual_time
 
 # Jobs are submitted from here on, about one every two seconds.
 FIRST_S = 4.0
@@ -27,45 +27,47 @@
 
     at_s: float
     kind: str
-    for_s: float = 10.0
-    pick: int = 0
+    duration_s: float = 10.0
+    selector: int = 0
 
 
 def _someone(region: Simulation, pick: int) -> str:
     """The leader mostly, else a controller."""
-    return (region.leader() if pick % 3 else None) or region.names[pick % len(region.names)]
+    return (region.leader() if pick % 3 else None) or region.controller_names[
+        pick % len(region.controller_names)
+    ]
 
 
 async def _state_outage(region: Simulation, trouble: Fault) -> None:
     region.state.begin_outage()
-    await asyncio.sleep(trouble.for_s)
+    await asyncio.sleep(trouble.duration_s)
     region.state.end_outage()
 
 
 async def _state_slow(region: Simulation, trouble: Fault) -> None:
-    region.network.slow["state"] = 0.4
-    await asyncio.sleep(trouble.for_s)
-    region.network.slow.pop("state", None)
+    region.network.extra_delay_s["state"] = 0.4
+    await asyncio.sleep(trouble.duration_s)
+    region.network.extra_delay_s.pop("state", None)
 
 
 async def _refused(region: Simulation, trouble: Fault) -> None:
     """The state service refuses one controller alone."""
-    name = _someone(region, trouble.pick)
-    region.state.refused.add(name)
-    await asyncio.sleep(trouble.for_s)
-    region.state.refused.discard(name)
+    name = _someone(region, trouble.selector)
+    region.state.refused_senders.add(name)
+    await asyncio.sleep(trouble.duration_s)
+    region.state.refused_senders.discard(name)
 
 
 async def _apart(region: Simulation, trouble: Fault) -> None:
     """A controller loses the state service and the others, not its workers or users."""
-    name = _someone(region, trouble.pick)
-    pairs = {(name, o) for o in region.names if o != name}
+    name = _someone(region, trouble.selector)
+    pairs = {(name, o) for o in region.controller_names if o != name}
     pairs |= {(o, name) for _, o in pairs}
-    region.state.refused.add(name)
-    region.network.refuses |= pairs
-    await asyncio.sleep(trouble.for_s)
-    region.network.refuses -= pairs
-    region.state.refused.discard(name)
+    region.state.refused_senders.add(name)
+    region.network.refused_pairs |= pairs
+    await asyncio.sleep(trouble.duration_s)
+    region.network.refused_pairs -= pairs
+    region.state.refused_senders.discard(name)
 
 
 async def _block(table: dict[Any, asyncio.Event], keys: Iterable[Any], for_s: float) -> None:
@@ -80,15 +82,15 @@
 
 
 async def _hold(region: Simulation, trouble: Fault, pairs: set[tuple[str, str]]) -> None:
-    await _block(region.network.holds, pairs, trouble.for_s)
+    await _block(region.network.held_pairs, pairs, trouble.duration_s)
 
 
 async def _zone_cut(region: Simulation, trouble: Fault) -> None:
     """A zone with its workers and its controllers; all between it and the rest is held back."""
-    zone = "ab"[trouble.pick % 2]
-    inside = {n for n in region.names if region.settings(n).zone == zone}
+    zone = "ab"[trouble.selector % 2]
+    inside = {n for n in region.controller_names if region.settings(n).zone == zone}
     inside |= {n for n, w in region.workers.items() if w.zone == zone}
-    outside = {"state", "cloud", *region.names, *region.workers} - inside
+    outside = {"state", "cloud", *region.controller_names, *region.workers} - inside
     pairs = {(i, o) for i in inside for o in outside if o != "cloud"}
     await _hold(region, trouble, pairs | {(o, i) for i, o in pairs})
 
@@ -96,10 +98,10 @@
 def _ways(region: Simulation, name: str, pick: int) -> set[tuple[str, str]]:
     """What a controller sends, or what is sent to it, by other controllers, state or workers."""
     others = {
-        0: [n for n in region.names if n != name],
+        0: [n for n in region.controller_names if n != name],
         1: ["state"],
         2: list(region.workers),
-        3: [n for n in region.names if n != name][:1],
+        3: [n for n in region.controller_names if n != name][:1],
     }[pick // 2 % 4]
     pairs = {(name, other) for other in others}
     return {(b, a) for a, b in pairs} if pick % 2 else pairs
@@ -107,29 +109,29 @@
 
 async def _one_way(region: Simulation, trouble: Fault) -> None:
     """What goes in one direction is held back, and arrives once the trouble is over."""
-    name = region.leader() or region.names[0]
-    await _hold(region, trouble, _ways(region, name, trouble.pick))
+    name = region.leader() or region.controller_names[0]
+    await _hold(region, trouble, _ways(region, name, trouble.selector))
 
 
 async def _machines_cut(region: Simulation, trouble: Fault) -> None:
-    names = sorted(region.workers)[trouble.pick % 2 :: 2]
-    pairs = {(n, c) for n in names for c in region.names}
+    names = sorted(region.workers)[trouble.selector % 2 :: 2]
+    pairs = {(n, c) for n in names for c in region.controller_names}
     await _hold(region, trouble, pairs | {(c, n) for n, c in pairs})
 
 
 async def _leader_without_workers(region: Simulation, trouble: Fault) -> None:
-    name = _someone(region, trouble.pick)
+    name = _someone(region, trouble.selector)
     pairs = {(name, w) for w in region.workers} | {(w, name) for w in region.workers}
-    region.network.refuses |= pairs
-    await asyncio.sleep(trouble.for_s)
-    region.network.refuses -= pairs
+    region.network.refused_pairs |= pairs
+    await asyncio.sleep(trouble.duration_s)
+    region.network.refused_pairs -= pairs
 
 
 async def _crash(region: Simulation, trouble: Fault) -> None:
-    name = _someone(region, trouble.pick)
+    name = _someone(region, trouble.selector)
     if name in region.controllers:
         region.kill_controller(name)
-        await asyncio.sleep(0.2 if trouble.pick % 2 else min(trouble.for_s, 4.0))
+        await asyncio.sleep(0.2 if trouble.selector % 2 else min(trouble.duration_s, 4.0))
         region.start_controller(name)
 
 
@@ -137,16 +139,16 @@
     """All controllers end; they are away for longer than a lease at most."""
     for name in list(region.controllers):
         region.kill_controller(name)
-    await asyncio.sleep(min(trouble.for_s, LEASE_S + 8.0))
-    for name in region.names:
+    await asyncio.sleep(min(trouble.duration_s, LEASE_S + 8.0))
+    for name in region.controller_names:
         if name not in region.controllers:
             region.start_controller(name)
-            await asyncio.sleep(0.3 * (trouble.pick % 3))
+            await asyncio.sleep(0.3 * (trouble.selector % 3))
 
 
 async def _leaders_change(region: Simulation, trouble: Fault) -> None:
     """Leader after leader ends and is back within a fraction of a second."""
-    until = region.now() + trouble.for_s
+    until = region.now() + trouble.duration_s
     while region.now() < until:
         name = region.leader()
         if name is not None:
@@ -157,37 +159,37 @@
 
 
 def _few(region: Simulation, pick: int) -> list[str]:
-    busy = sorted({worker.name for worker in region.on.values()}) or sorted(region.workers)
+    busy = sorted({worker.name for worker in region.running_on.values()}) or sorted(region.workers)
     return busy[pick % 2 :: 2][:8]
 
 
 async def _hang(region: Simulation, trouble: Fault) -> None:
-    await _block(region.network.hangs, _few(region, trouble.pick), trouble.for_s)
+    await _block(region.network.hung_hosts, _few(region, trouble.selector), trouble.duration_s)
 
 
 async def _freeze(region: Simulation, trouble: Fault) -> None:
     """A controller stands still, and then goes on with what it had begun."""
-    await freeze_one(region, _someone(region, trouble.pick), trouble.for_s)
+    await freeze_controller(region, _someone(region, trouble.selector), trouble.duration_s)
 
 
-async def freeze_one(region: Simulation, name: str, for_s: float) -> None:
-    if name in region.network.hangs:
+async def freeze_controller(region: Simulation, name: str, for_s: float) -> None:
+    if name in region.network.hung_hosts:
         return
     awake = asyncio.Event()
-    region.network.hangs[name] = awake
-    region.loop.frozen.setdefault(name, [])
+    region.network.hung_hosts[name] = awake
+    region.loop.frozen_callbacks.setdefault(name, [])
     await asyncio.sleep(for_s)
-    region.network.hangs.pop(name, None)
+    region.network.hung_hosts.pop(name, None)
     region.loop.thaw(name)
     awake.set()
 
 
 async def _stalls(region: Simulation, trouble: Fault) -> None:
     """A controller short of processor stands still again and again, about as long as its lease."""
-    until = region.now() + trouble.for_s
+    until = region.now() + trouble.duration_s
     stalls = itertools.cycle((1.0, 2.6, 3.4, 0.4, 6.0))
     while region.now() < until:
-        await _freeze(region, Fault(region.now(), "freeze", next(stalls), trouble.pick))
+        await _freeze(region, Fault(region.now(), "freeze", next(stalls), trouble.selector))
         await asyncio.sleep(0.7)
 
 
@@ -197,11 +199,11 @@
         region.kill_controller(name)
     await asyncio.sleep(1.0)
     starting = []
-    for index, name in enumerate(region.names):
+    for index, name in enumerate(region.controller_names):
         if name not in region.controllers:
             region.start_controller(name)
-            late_s = min(trouble.for_s, 4.0) + 0.5 * index
-            starting.append(freeze_one(region, name, late_s))
+            late_s = min(trouble.duration_s, 4.0) + 0.5 * index
+            starting.append(freeze_controller(region, name, late_s))
     await asyncio.gather(*starting)
 
 
@@ -209,17 +211,17 @@
     workers = [region.workers[name] for name in names]
     for worker in workers:
         setattr(worker, flag, True)
-    await asyncio.sleep(trouble.for_s)
+    await asyncio.sleep(trouble.duration_s)
     for worker in workers:
         setattr(worker, flag, False)
 
 
 async def _deaf(region: Simulation, trouble: Fault) -> None:
-    await _flag(region, trouble, "deaf", _few(region, trouble.pick))
+    await _flag(region, trouble, "deaf", _few(region, trouble.selector))
 
 
 async def _mute(region: Simulation, trouble: Fault) -> None:
-    await _flag(region, trouble, "mute", _few(region, trouble.pick))
+    await _flag(region, trouble, "mute", _few(region, trouble.selector))
 
 
 async def _all_mute(region: Simulation, trouble: Fault) -> None:
@@ -228,64 +230,66 @@
 
 
 async def _slow_links(region: Simulation, trouble: Fault) -> None:
-    names = [*region.names, *region.workers]
-    region.network.slow.update(dict.fromkeys(names, 0.15))
-    await asyncio.sleep(trouble.for_s)
+    names = [*region.controller_names, *region.workers]
+    region.network.extra_delay_s.update(dict.fromkeys(names, 0.15))
+    await asyncio.sleep(trouble.duration_s)
     for name in names:
-        region.network.slow.pop(name, None)
+        region.network.extra_delay_s.pop(name, None)
 
 
 async def _die(region: Simulation, trouble: Fault) -> None:
-    for name in _few(region, trouble.pick)[:3]:
+    for name in _few(region, trouble.selector)[:3]:
         region.workers.pop(name).destroy()
 
 
 async def _notices(region: Simulation, trouble: Fault) -> None:
     """Spot machines are taken back, with notice."""
-    names = [n for n in _few(region, trouble.pick) if region.workers[n].spot]
+    names = [n for n in _few(region, trouble.selector) if region.workers[n].spot]
     for name in names:
-        region.workers[name].warning_s = trouble.for_s
-        region.workers[name].changed()
-    await asyncio.sleep(trouble.for_s)
+        region.workers[name].spot_notice_s = trouble.duration_s
+        region.workers[name].notify_changed()
+    await asyncio.sleep(trouble.duration_s)
     for name in names:
         if name in region.workers:
             region.workers.pop(name).destroy()
 
 
 async def _late_writes(region: Simulation, trouble: Fault) -> None:
-    region.state.late_share = 0.3
-    await asyncio.sleep(trouble.for_s)
-    region.state.late_share = 0.0
+    region.state.late_commit_share = 0.3
+    await asyncio.sleep(trouble.duration_s)
+    region.state.late_commit_share = 0.0
 
 
 async def _late_reports(region: Simulation, trouble: Fault) -> None:
-    region.late_reports = 0.3
-    await asyncio.sleep(trouble.for_s)
-    region.late_reports = 0.0
+    region.late_report_share = 0.3
+    await asyncio.sleep(trouble.duration_s)
+    region.late_report_share = 0.0
 
 
 async def _cloud_outage(region: Simulation, trouble: Fault) -> None:
     region.cloud_down = True
-    await asyncio.sleep(trouble.for_s)
+    await asyncio.sleep(trouble.duration_s)
     region.cloud_down = False
 
 
 async def _cancel(region: Simulation, trouble: Fault) -> None:
     """Users call off jobs that run, through any controller that confirms it."""
-    running = sorted({task.partition("/")[0] for task in region.on} - region.asked_to_cancel)
+    running = sorted(
+        {task.partition("/")[0] for task in region.running_on} - region.withdrawal_requested
+    )
     for job_id in running[:4]:
         region.network.spawn(region.withdraw(job_id))
 
 
 async def _cancel_and_hang(region: Simulation, trouble: Fault) -> None:
     await _cancel(region, trouble)
-    await asyncio.sleep(0.1 * (trouble.pick % 3))
+    await asyncio.sleep(0.1 * (trouble.selector % 3))
     await _hang(region, trouble)
 
 
 async def _cancel_at_end(region: Simulation, trouble: Fault) -> None:
     """Jobs are called off, asked after and sent again just as their last task ends."""
-    until = region.now() + trouble.for_s
+    until = region.now() + trouble.duration_s
     met: set[str] = set()
     while region.now() < until:
         await asyncio.sleep(0.05)
@@ -293,27 +297,29 @@
             tasks = {f"{job_id}/{i}" for i in range(region.specs[job_id].tasks)}
             if tasks <= region.done_tasks:
                 met.add(job_id)
-                if job_id not in region.asked_to_cancel:
+                if job_id not in region.withdrawal_requested:
                     region.network.spawn(region.withdraw(job_id))
                 region.network.spawn(region.poll(job_id))
                 region.network.spawn(region.submit(region.specs[job_id], 10.0))
 
 
 async def _odd_requests(region: Simulation, trouble: Fault) -> None:
-    until = region.now() + trouble.for_s
+    until = region.now() + trouble.duration_s
     while region.now() < until:
         await asyncio.sleep(1.0)
         for job_id in sorted(region.accepted)[-3:]:
             region.network.spawn(region.submit(region.specs[job_id], 10.0))
-        for odd in (spec("j-900001", cpus=64.0), spec("j-900002", team="red", cpus=30.0)):
+        for odd in (job_spec("j-900001", cpus=64.0), job_spec("j-900002", team="red", cpus=30.0)):
             if await region.submit(odd, 1.0):
-                region.note("invented", f"{odd.id} accepted")
-        status, _ = await region.ask("POST", "/api/jobs", b'{"ref":"j-900003","pieces":1}')
+                region.record_violation("invented", f"{odd.id} accepted")
+        status, _ = await region.send_user_request(
+            "POST", "/api/jobs", b'{"ref":"j-900003","pieces":1}'
+        )
         if status in (200, 201):
-            region.note("invented", "j-900003 accepted")
-        status, _ = await region.ask("POST", "/api/jobs/j-900004/withdraw")
+            region.record_violation("invented", "j-900003 accepted")
+        status, _ = await region.send_user_request("POST", "/api/jobs/j-900004/withdraw")
         if status == 200:
-            region.note("invented", "j-900004 withdrawn")
+            region.record_violation("invented", "j-900004 withdrawn")
 
 
 FAULTS: dict[str, Callable[[Simulation, Fault], Coroutine[Any, Any, None]]] = {
@@ -349,7 +355,7 @@
 
 
 KINDS = ("array", "array", "array", "daemon")
-WITH_GANGS = (*KINDS, "group", "group", "group")
+JOB_KINDS_WITH_GANGS = (*KINDS, "group", "group", "group")
 
 
 def _jobs(region: Simulation, count: int, kinds: tuple[str, ...]) -> list[tuple[Any, float]]:
@@ -372,7 +378,7 @@
         if kind == "daemon" and not changes["one_zone"]:
             changes["spread"] = True
         run_s = 1e9 if kind == "daemon" else rng.choice([5.0, 20.0, 60.0, 90.0])
-        jobs.append((spec(f"j-{i:06d}", **changes), run_s))
+        jobs.append((job_spec(f"j-{i:06d}", **changes), run_s))
     return jobs
 
 
@@ -392,7 +398,7 @@
     async def work() -> None:
         for job, run_s in _jobs(region, jobs, kinds):
             if await region.submit(job, run_s):
-                region.network.spawn(region.follow(job.id))
+                region.network.spawn(region.poll_until_final(job.id))
             await asyncio.sleep(region.rng.uniform(0.5, 4.0))
 
     async def trouble(one: Fault) -> None:
@@ -409,23 +415,23 @@
             if await region.poll(job_id) is not None:
                 unheard[job_id] = region.now()
             elif region.now() - unheard[job_id] > ANSWER_S:
-                region.note("forgotten", f"{job_id}: no answer")
+                region.record_violation("forgotten", f"{job_id}: no answer")
     for job_id in sorted(region.accepted):
         job = region.specs[job_id]
-        phase, since = region.told[job_id]
-        since = max(since, region.at_limit.get((job.team, need(job)), 0.0))
+        phase, since = region.reported_phases[job_id]
+        since = max(since, region.last_at_limit_s.get((job.team, min_cores_to_start(job)), 0.0))
         if phase == "pending" and region.now() - since > WAIT_S:
-            region.note("waits", f"{job_id} of {job.team}, {job.tasks} tasks")
+            region.record_violation("waits", f"{job_id} of {job.team}, {job.tasks} tasks")
 
 
-def play_day(
+def run_scenario(
     seed: int,
-    troubles: list[Fault],
-    jobs: int = 14,
-    kinds: tuple[str, ...] = KINDS,
+    faults: list[Fault],
+    job_count: int = 14,
+    job_kinds: tuple[str, ...] = KINDS,
     tuning: Tuning = DEFAULT_TUNING,
 ) -> Simulation:
     """Play a day; the region with what was broken and counted."""
     out: list[Simulation] = []
-    play(_day(seed, troubles, jobs, out, kinds, tuning))
+    run_in_virtual_time(_day(seed, faults, job_count, out, job_kinds, tuning))
     return out[0]
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -42,7 +42,7 @@
 from mosswalk.service import Controller, listen
 from mosswalk.store.client import ConflictError, NoLeaseError
 from mosswalk.wire import state as wire
-from tests.standins import Store, shape
+from tests.fakes import InMemoryStore, machine_type
 
 REPORT_S = 0.25
 LEASE_S = 5.0
@@ -89,8 +89,8 @@
     """The store over HTTP; ``down`` makes it refuse everybody."""
 
     def __init__(self) -> None:
-        self.store = Store()
-        self.deadlines: dict[int, tuple[float, float]] = {}
+        self.store = InMemoryStore()
+        self.lease_deadlines: dict[int, tuple[float, float]] = {}
         self.down = False
         # Controllers that it alone refuses, by the name that they send.
         self.refused: set[str] = set()
@@ -106,16 +106,16 @@
         app.router.add_get("/follow", self.follow)
         return app
 
-    def expire(self) -> None:
-        for lease, (until, _) in list(self.deadlines.items()):
+    def expire_leases(self) -> None:
+        for lease, (until, _) in list(self.lease_deadlines.items()):
             if time.monotonic() > until and not self.down:
-                del self.deadlines[lease]
+                del self.lease_deadlines[lease]
                 self.store.end_lease(lease)
 
     def _check(self, request: web.Request) -> None:
         if self.down or request.headers.get("From") in self.refused:
             raise web.HTTPServiceUnavailable
-        self.expire()
+        self.expire_leases()
 
     async def get(self, request):
         self._check(request)
@@ -153,22 +153,22 @@
         self._check(request)
         ttl = (await request.json())["ttl_ms"] / 1000
         lease = self.store.grant()
-        self.deadlines[lease] = (time.monotonic() + ttl, ttl)
+        self.lease_deadlines[lease] = (time.monotonic() + ttl, ttl)
         return web.json_response({"hold": lease})
 
     async def touch(self, request):
         self._check(request)
         lease = int(request.match_info["id"])
-        if lease not in self.deadlines:
+        if lease not in self.lease_deadlines:
             return web.Response(status=404)
-        ttl = self.deadlines[lease][1]
-        self.deadlines[lease] = (time.monotonic() + ttl, ttl)
+        ttl = self.lease_deadlines[lease][1]
+        self.lease_deadlines[lease] = (time.monotonic() + ttl, ttl)
         return web.json_response({})
 
     async def end(self, request):
         self._check(request)
         lease = int(request.match_info["id"])
-        if self.deadlines.pop(lease, None) is None:
+        if self.lease_deadlines.pop(lease, None) is None:
             return web.Response(status=404)
         self.store.end_lease(lease)
         return web.json_response({})
@@ -178,7 +178,7 @@
         prefix, after = request.query["starts"], int(request.query["after"])
         until = time.monotonic() + int(request.query.get("hold_ms", 0)) / 1000
         while True:
-            self.expire()
+            self.expire_leases()
             refused = self.down or request.headers.get("From") in self.refused
             events = (
                 []
@@ -360,7 +360,7 @@
         return app
 
     async def machine_types(self, _request):
-        return web.Response(body=msgspec.json.encode({"builds": [shape()]}))
+        return web.Response(body=msgspec.json.encode({"builds": [machine_type()]}))
 
     async def rent(self, request):
         body = await request.json()
--- a/tests/gangs.py
+++ b/tests/simulated_gangs.py
@@ -28,7 +28,7 @@
     over: bool = False
 
 
-class Gangs:
+class SimulatedGangs:
     """What the tasks of each attempt find out about one another."""
 
     def __init__(self, region: Simulation) -> None:
@@ -43,7 +43,7 @@
         attempt, spec = self.of(key), self.region.spec_of(key[0])
         saves = spec.checkpoint_interval_s > 0 and grace_s >= spec.checkpoint_duration_s
         if attempt.ends is None or not saves:
-            worker.exit(key, "stopped")
+            worker.end_task(key, "stopped")
             return
         attempt.stopped = attempt.stopped or self.region.now()
         attempt.told.add(key[0])
@@ -63,12 +63,12 @@
             self._advance(self.attempts.setdefault((job_id, number), Attempt()), job_id, there)
 
     def _hangs(self, worker: Worker) -> bool:
-        return worker.name in self.region.network.hangs
+        return worker.name in self.region.network.hung_hosts
 
     def _exit(self, there: dict[Key, Worker], cause: str) -> None:
         for key, worker in there.items():
             if not self._hangs(worker):
-                worker.exit(key, cause)
+                worker.end_task(key, cause)
 
     def _advance(self, attempt: Attempt, job_id: str, there: dict[Key, Worker]) -> None:
         now, spec = self.region.now(), self.region.specs[job_id]
@@ -91,10 +91,10 @@
 
     def _start(self, attempt: Attempt, job_id: str, there: dict[Key, Worker]) -> None:
         self.region.counts["gangs_started"] += 1
-        attempt.ends = self.region.now() + self.region.run_s(next(iter(there))[0])
+        attempt.ends = self.region.now() + self.region.draw_run_time_s(next(iter(there))[0])
         for key, worker in there.items():
             worker.tasks[key]["phase"] = "running"
-            worker.changed()
+            worker.notify_changed()
 
     def _save(self, attempt: Attempt, spec, there: dict[Key, Worker], whole: bool) -> None:
         now = self.region.now()
--- a/tests/simulated_services.py
+++ b/tests/simulated_services.py
@@ -12,8 +12,8 @@
 
 from mosswalk.store.client import ConflictError, NoLeaseError
 from mosswalk.wire import state as wire
-from tests.gangs import GANG_WAIT_S
-from tests.standins import Store
+from tests.fakes import InMemoryStore
+from tests.simulated_gangs import GANG_WAIT_S
 
 if TYPE_CHECKING:
     from tests.simulation import Simulation
@@ -27,12 +27,12 @@
 
     def __init__(self, region: Simulation) -> None:
         self.region = region
-        self.store = Store()
+        self.store = InMemoryStore()
         self.leases: dict[int, tuple[float, float]] = {}
         self._up = asyncio.Event()
         self._up.set()
-        self.refused: set[str] = set()
-        self.late_share = 0.0
+        self.refused_senders: set[str] = set()
+        self.late_commit_share = 0.0
         self._changed = asyncio.Event()
 
     async def serve(self, method: str, path: str, body: bytes, sender: str) -> tuple[int, bytes]:
@@ -40,7 +40,7 @@
         query = {k: v[0] for k, v in parse_qs(url.query).items()}
         if url.path == "/follow":
             return await self._follow(query, sender)
-        if self.down or sender in self.refused:
+        if self.down or sender in self.refused_senders:
             return 503, b"{}"
         if url.path == "/commit":
             return await self._commit(body)
@@ -87,7 +87,7 @@
 
     async def _commit(self, body: bytes) -> tuple[int, bytes]:
         transaction = msgspec.json.decode(body, type=wire.Transaction)
-        if self.region.rng.random() < self.late_share:
+        if self.region.rng.random() < self.late_commit_share:
             self.region.network.spawn(self._commit_late(transaction))
             await asyncio.sleep(60.0)
         return self._apply(transaction)
@@ -113,13 +113,13 @@
         self._changed = asyncio.Event()
 
     async def _follow(self, query: dict[str, str], sender: str) -> tuple[int, bytes]:
-        if self.down or sender in self.refused:
+        if self.down or sender in self.refused_senders:
             return 503, b"{}"
         after, prefix = int(query["after"]), query["starts"]
         until = self.region.now() + int(query.get("hold_ms", 0)) / 1000
         while True:
             changed = self._changed
-            if not self.down and sender not in self.refused:
+            if not self.down and sender not in self.refused_senders:
                 events = [
                     e
                     for e in self.store.events[-2000:]
@@ -149,7 +149,7 @@
         for lease, (_, ttl) in self.leases.items():
             self.leases[lease] = (self.region.now() + ttl, ttl)
 
-    def tick(self) -> None:
+    def expire_leases(self) -> None:
         if self.down:
             return
         for lease, (until, _) in list(self.leases.items()):
@@ -164,19 +164,19 @@
 
     def __init__(self, region: Simulation, name: str, kind: str, zone: str, spot: bool) -> None:
         self.region, self.name = region, name
-        self.kind, self.zone, self.spot = kind, zone, spot
+        self.machine_type, self.zone, self.spot = kind, zone, spot
         self.address = f"{name}:9000"
         self.tenure, self.tick, self.epoch = 1, 0, 0
         # phase, cause, and when the phase ends
         self.tasks: dict[tuple[str, int], dict] = {}
         self.images: set[str] = set()
-        self.target = region.rng.randrange(len(region.names))
+        self.target = region.rng.randrange(len(region.controller_names))
         self.answered = 0.0
         self.up = self.gone = self.deaf = self.mute = False
-        self.warning_s: float | None = None
+        self.spot_notice_s: float | None = None
         self.kept: list[bytes] = []
         self._changed = asyncio.Event()
-        self._began = region.now()
+        self._rented_at_s = region.now()
 
     def report(self) -> bytes:
         self.tick += 1
@@ -187,13 +187,13 @@
         body = {
             "host": self.name,
             "addr": self.address,
-            "build": self.kind,
+            "build": self.machine_type,
             "yard": self.zone,
             "reclaimable": self.spot,
             "tenure": self.tenure,
             "tick": self.tick,
             "epoch": self.epoch,
-            "warning_s": self.warning_s,
+            "warning_s": self.spot_notice_s,
             "pieces": rows,
         }
         return json.dumps(body).encode()
@@ -240,17 +240,17 @@
             row["phase"], row["until"] = "saving", self.region.now() + spec.checkpoint_duration_s
             self._changed.set()
         elif not saves or row["phase"] != "saving":
-            self.exit(key, "stopped")
+            self.end_task(key, "stopped")
 
-    def changed(self) -> None:
+    def notify_changed(self) -> None:
         self._changed.set()
 
-    def exit(self, key: tuple[str, int], cause: str) -> None:
+    def end_task(self, key: tuple[str, int], cause: str) -> None:
         row = self.tasks.get(key)
         if row is None or row["phase"] == "exited":
             return
         if row["phase"] in ("gathering", "running", "saving"):
-            self.region.ended(self, key[0], cause)
+            self.region.on_task_ended(self, key[0], cause)
         self.tasks[key] = {"phase": "exited", "cause": cause}
         self._changed.set()
 
@@ -267,11 +267,11 @@
     def advance(self) -> None:
         """What happens by itself: nothing while it hangs."""
         now = self.region.now()
-        if not self.up or self.gone or self.name in self.region.network.hangs:
+        if not self.up or self.gone or self.name in self.region.network.hung_hosts:
             return
         if now - self.answered > LEASE_S:
             for key in list(self.tasks):
-                self.exit(key, "lease")
+                self.end_task(key, "lease")
             self.tasks.clear()
             self.tenure += 1
             self.answered = now
@@ -281,22 +281,22 @@
                 spec = self.region.spec_of(key[0])
                 self.images.add(spec.image)
                 row["phase"] = "running"
-                row["until"] = now + self.region.run_s(key[0])
+                row["until"] = now + self.region.draw_run_time_s(key[0])
                 self._changed.set()
-                self.region.started(self, key[0])
+                self.region.on_task_started(self, key[0])
                 if spec.kind == "group":
                     row["phase"], row["until"] = "gathering", now + GANG_WAIT_S
             if self.region.spec_of(key[0]).kind == "group":
                 # Its tasks go on together.
                 continue
             if row["phase"] == "running" and now >= row["until"]:
-                self.exit(key, "done")
+                self.end_task(key, "done")
             elif row["phase"] == "saving" and now >= row["until"]:
-                self.exit(key, "stopped")
+                self.end_task(key, "stopped")
 
     def destroy(self) -> None:
         for key in list(self.tasks):
-            self.exit(key, "gone")
+            self.end_task(key, "gone")
         self.gone = True
         self.region.network.hosts.pop(self.address, None)
 
@@ -305,7 +305,7 @@
         self.up = True
         self.answered = self.region.now()
         while not self.gone:
-            await self.region.network.awake(self.name)
+            await self.region.network.wait_while_hung(self.name)
             if self.gone:
                 return
             self.advance()
@@ -320,11 +320,11 @@
 
     async def _once(self) -> float:
         region = self.region
-        sent, tenure, name = region.now(), self.tenure, region.names[self.target]
+        sent, tenure, name = region.now(), self.tenure, region.controller_names[self.target]
         body = self.report()
-        region.note_report(body)
+        region.maybe_repeat_report(body)
         if self.mute:
-            self.target = (self.target + 1) % len(region.names)
+            self.target = (self.target + 1) % len(region.controller_names)
             await asyncio.sleep(2.0)
             return 1.0
         try:
@@ -343,8 +343,8 @@
                 self.carry_out(decoded["orders"])
             return REPORT_S * region.rng.uniform(0.75, 1.25) - 0.5
         manager = json.loads(answer).get("steward") if status == 421 else None
-        if manager in region.names and manager != name:
-            self.target = region.names.index(manager)
+        if manager in region.controller_names and manager != name:
+            self.target = region.controller_names.index(manager)
             return 0.0
-        self.target = (self.target + 1) % len(region.names)
+        self.target = (self.target + 1) % len(region.controller_names)
         return 0.5
--- a/tests/simulation.py
+++ b/tests/simulation.py
@@ -33,17 +33,17 @@
 from mosswalk.wire.peers import Heartbeat, Offer, Outcomes, Withdrawals
 from mosswalk.wire.users import JobSpec
 from mosswalk.wire.workers import Report
-from tests.gangs import GANG_PEER_S, GANG_WAIT_S, Gangs
+from tests.fakes import machine_type
+from tests.simulated_gangs import GANG_PEER_S, GANG_WAIT_S, SimulatedGangs
 from tests.simulated_services import LEASE_S, REPORT_S, StateService, Worker
-from tests.standins import shape
-from tests.virtual import PROCESS, Network, Session, VirtualClock
+from tests.virtual_time import CURRENT_PROCESS, Network, SimulatedHttp, VirtualClock
 
 CANCEL_S = 42.0
 DEFAULT_TUNING = Tuning()
 TICK_S = 0.25
 
 
-def need(job: JobSpec) -> float:
+def min_cores_to_start(job: JobSpec) -> float:
     """The cores that must be free within a team's limit before any task of a job can start."""
     return job.cpus * (job.tasks if job.kind == "group" else 1)
 
@@ -55,7 +55,7 @@
         self,
         seed: int,
         teams: tuple[Team, ...] = (Team("red", 8.0, 24.0), Team("blue")),
-        count: int = 3,
+        controller_count: int = 3,
         tuning: Tuning = DEFAULT_TUNING,
     ) -> None:
         self.tuning = tuning
@@ -64,32 +64,32 @@
         self.network = Network(self.rng)
         self.state = StateService(self)
         self.teams = {team.name: team for team in teams}
-        self.names = [f"moss-{i}" for i in range(count)]
-        self.addresses = {n: f"{n}:8080" for n in self.names}
+        self.controller_names = [f"moss-{i}" for i in range(controller_count)]
+        self.addresses = {n: f"{n}:8080" for n in self.controller_names}
         self.controllers: dict[str, tuple[Controller, list[asyncio.Task]]] = {}
         self.workers: dict[str, Worker] = {}
         self.hires: dict[str, list[str]] = {}
         self.cloud_down = False
-        self.late_reports = 0.0
+        self.late_report_share = 0.0
         self.rented = 0
         # What users know and what the rules are checked on.
         self.specs: dict[str, JobSpec] = {}
         self.run_times: dict[str, float] = {}
         self.accepted: set[str] = set()
-        self.told: dict[str, tuple[str, float]] = {}
-        self.asked_to_cancel: set[str] = set()
+        self.reported_phases: dict[str, tuple[str, float]] = {}
+        self.withdrawal_requested: set[str] = set()
         self.done_tasks: set[str] = set()
-        self.on: dict[str, Worker] = {}
+        self.running_on: dict[str, Worker] = {}
         # When a team last had no room for a task of that many cores within its limit.
-        self.at_limit: dict[tuple[str, float], float] = {}
-        self.broken: list[str] = []
+        self.last_at_limit_s: dict[tuple[str, float], float] = {}
+        self.violations: list[str] = []
         self.counts: Counter[str] = Counter()
-        self.gangs = Gangs(self)
+        self.gangs = SimulatedGangs(self)
 
     def now(self) -> float:
         return self.loop.time()
 
-    async def until(self, condition: Callable[[], object], within_s: float = 90.0) -> None:
+    async def wait_until(self, condition: Callable[[], object], within_s: float = 90.0) -> None:
         """Wait for something that no message tells of; the caller asserts what it needs."""
         for _ in range(round(within_s / TICK_S)):
             if condition():
@@ -98,62 +98,68 @@
 
     # The rules.
 
-    def note(self, rule: str, what: str) -> None:
-        self.broken.append(f"{rule} at {self.now():.1f} s: {what}")
+    def record_violation(self, rule: str, what: str) -> None:
+        self.violations.append(f"{rule} at {self.now():.1f} s: {what}")
 
     def spec_of(self, task: str) -> JobSpec | None:
         return self.specs.get(task.partition("/")[0])
 
-    def run_s(self, task: str) -> float:
+    def draw_run_time_s(self, task: str) -> float:
         if task in self.done_tasks:
             return 0.0
         return self.run_times[task.partition("/")[0]] * self.rng.uniform(0.4, 1.6)
 
-    def started(self, worker: Worker, task: str) -> None:
+    def on_task_started(self, worker: Worker, task: str) -> None:
         spec = self.spec_of(task)
         self.counts["started"] += 1
-        if task in self.on:
-            self.note("ran_twice", f"{task} on {self.on[task].name} and {worker.name}")
-        self.on[task] = worker
-        phase, since = self.told.get(spec.id, ("", 0.0))
+        if task in self.running_on:
+            self.record_violation(
+                "ran_twice", f"{task} on {self.running_on[task].name} and {worker.name}"
+            )
+        self.running_on[task] = worker
+        phase, since = self.reported_phases.get(spec.id, ("", 0.0))
         if phase == "withdrawn":
             self.counts["started_cancelled"] += 1
             if self.now() - since > CANCEL_S:
-                self.note("ran_cancelled", f"{task} started on {worker.name}")
-        used = sum(self.spec_of(t).cpus for t in self.on if self.spec_of(t).team == spec.team)
+                self.record_violation("ran_cancelled", f"{task} started on {worker.name}")
+        used = sum(
+            self.spec_of(t).cpus for t in self.running_on if self.spec_of(t).team == spec.team
+        )
         if 0 < self.teams[spec.team].cpus_max < used:
-            self.note("quota", f"{spec.team} uses {used}")
-        mates = [w for t, w in self.on.items() if t.partition("/")[0] == spec.id and t != task]
+            self.record_violation("quota", f"{spec.team} uses {used}")
+        mates = [
+            w for t, w in self.running_on.items() if t.partition("/")[0] == spec.id and t != task
+        ]
         if spec.one_zone and any(mate.zone != worker.zone for mate in mates):
-            self.note("wrong_place", f"{task} in {worker.zone}, others elsewhere")
+            self.record_violation("wrong_place", f"{task} in {worker.zone}, others elsewhere")
         there = sum(1 for mate in mates if mate.zone == worker.zone) + 1
         if spec.spread and there > -(-spec.tasks // 2):
-            self.note("wrong_place", f"{task}: {there} tasks in {worker.zone}")
+            self.record_violation("wrong_place", f"{task}: {there} tasks in {worker.zone}")
         if (worker.spot and not spec.spot) or (spec.zone or worker.zone) != worker.zone:
-            self.note("wrong_place", f"{task} on {worker.name}")
+            self.record_violation("wrong_place", f"{task} on {worker.name}")
 
-    def ended(self, worker: Worker, task: str, cause: str) -> None:
-        if self.on.get(task) is worker:
-            del self.on[task]
+    def on_task_ended(self, worker: Worker, task: str, cause: str) -> None:
+        if self.running_on.get(task) is worker:
+            del self.running_on[task]
         if cause == "done":
             self.done_tasks.add(task)
 
     def user_told(self, job_id: str, phase: str, asked: float) -> None:
-        before, since = self.told.get(job_id, ("", 0.0))
+        before, since = self.reported_phases.get(job_id, ("", 0.0))
         if before in ("done", "withdrawn") and phase != before:
             # An answer to what was asked before may be older, unless both are final.
             if asked > since or phase in ("done", "withdrawn"):
-                self.note("went_back", f"{job_id} was {before}, is {phase}")
+                self.record_violation("went_back", f"{job_id} was {before}, is {phase}")
             return
-        if phase == "withdrawn" and job_id not in self.asked_to_cancel:
-            self.note("went_back", f"{job_id} cancelled by nobody")
+        if phase == "withdrawn" and job_id not in self.withdrawal_requested:
+            self.record_violation("went_back", f"{job_id} cancelled by nobody")
         if phase == "done" and any(
             f"{job_id}/{i}" not in self.done_tasks for i in range(self.specs[job_id].tasks)
         ):
-            self.note("not_done", job_id)
+            self.record_violation("not_done", job_id)
         if phase != before:
             self.counts[phase] += 1
-            self.told[job_id] = (phase, self.now())
+            self.reported_phases[job_id] = (phase, self.now())
 
     def check(self) -> None:
         used = Counter(dict.fromkeys(self.teams, 0.0))
@@ -162,14 +168,14 @@
                 if row["phase"] != "exited":
                     used[self.spec_of(task).team] += self.spec_of(task).cpus
         for name, team in self.teams.items():
-            gangs = {need(s) for s in self.specs.values() if s.kind == "group"}
+            gangs = {min_cores_to_start(s) for s in self.specs.values() if s.kind == "group"}
             for cpus in {1.0, 2.0} | gangs:
                 if 0 < team.cpus_max < used[name] + cpus:
-                    self.at_limit[(name, cpus)] = self.now()
-        for task, worker in self.on.items():
-            phase, since = self.told.get(task.partition("/")[0], ("", 0.0))
+                    self.last_at_limit_s[(name, cpus)] = self.now()
+        for task, worker in self.running_on.items():
+            phase, since = self.reported_phases.get(task.partition("/")[0], ("", 0.0))
             if phase == "withdrawn" and self.now() - since > CANCEL_S:
-                self.note("ran_cancelled", f"{task} still on {worker.name}")
+                self.record_violation("ran_cancelled", f"{task} still on {worker.name}")
 
     # The cloud.
 
@@ -178,7 +184,7 @@
         if self.cloud_down:
             return 503, b'{"error":"trouble"}'
         if url.path == "/machine_types":
-            return 200, msgspec.json.encode({"builds": [shape(boot_s=3.0)]})
+            return 200, msgspec.json.encode({"builds": [machine_type(boot_s=3.0)]})
         if url.path == "/machines/release":
             for name in json.loads(body)["hosts"]:
                 if name in self.workers:
@@ -190,14 +196,14 @@
             {
                 "ref": n,
                 "addr": w.address,
-                "build": w.kind,
+                "build": w.machine_type,
                 "yard": w.zone,
                 "reclaimable": w.spot,
                 "phase": "running" if w.up else "booting",
                 "held_s": 1.0,
             }
             for n, w in sorted(self.workers.items())
-            if self.now() - w._began > 4.0 and n > parse_qs(url.query).get("after", [""])[0]
+            if self.now() - w._rented_at_s > 4.0 and n > parse_qs(url.query).get("after", [""])[0]
         ]
         return 200, json.dumps({"hosts": hosts, "truncated": False}).encode()
 
@@ -215,13 +221,13 @@
             self.hires[body["hire"]] = names
         return self.hires[body["hire"]]
 
-    def note_report(self, body: bytes) -> None:
-        if self.rng.random() < self.late_reports:
+    def maybe_repeat_report(self, body: bytes) -> None:
+        if self.rng.random() < self.late_report_share:
             self.network.spawn(self._report_again(body))
 
     async def _report_again(self, body: bytes) -> None:
         await asyncio.sleep(self.rng.choice([2.0, 5.0, LEASE_S + 4.0, 2 * LEASE_S]))
-        name = self.rng.choice(self.names)
+        name = self.rng.choice(self.controller_names)
         if name in self.controllers:
             self.controllers[name][0].manager.answer_report(msgspec.json.decode(body, type=Report))
 
@@ -230,21 +236,21 @@
     def start(self) -> None:
         self.network.hosts["state:1"] = ("state", self.state.serve)
         self.network.hosts["cloud:1"] = ("cloud", self.cloud)
-        for name in self.names:
+        for name in self.controller_names:
             self.start_controller(name)
         self.network.spawn(self._tick())
 
     async def _tick(self) -> None:
         while True:
             await asyncio.sleep(TICK_S)
-            self.state.tick()
+            self.state.expire_leases()
             for worker in list(self.workers.values()):
                 worker.advance()
             self.gangs.advance()
             self.check()
 
     def settings(self, name: str) -> Settings:
-        zone = {n: "b" if n == self.names[-1] else "a" for n in self.names}
+        zone = {n: "b" if n == self.controller_names[-1] else "a" for n in self.controller_names}
         return Settings(
             name,
             zone[name],
@@ -259,7 +265,7 @@
                 teams=tuple(self.teams.values()),
                 machine_limits=MachineLimits(),
             ),
-            tuple(Peer(n, zone[n], f"{n}:8081") for n in self.names if n != name),
+            tuple(Peer(n, zone[n], f"{n}:8081") for n in self.controller_names if n != name),
             self.tuning,
         )
 
@@ -267,7 +273,7 @@
         if name in self.controllers:
             # Another trouble has ended, and started, it meanwhile.
             return
-        session = Session(self.network, name)
+        session = SimulatedHttp(self.network, name)
         rng = random.Random(self.rng.random())
         controller = Controller(
             self.settings(name),
@@ -277,7 +283,7 @@
             rng,  # type: ignore[arg-type]
         )
         context = contextvars.copy_context()
-        context.run(PROCESS.set, name)
+        context.run(CURRENT_PROCESS.set, name)
         tasks = [
             self.loop.create_task(work, context=context) for work in controller.background_loops()
         ]
@@ -329,7 +335,7 @@
 
     # The users.
 
-    async def ask(
+    async def send_user_request(
         self,
         method: str,
         path: str,
@@ -337,7 +343,7 @@
         node: str | None = None,
         timeout_s: float = 5.0,
     ) -> tuple[int, dict]:
-        name = node or self.rng.choice(self.names)
+        name = node or self.rng.choice(self.controller_names)
         try:
             status, answer = await self.network.call(
                 "user", method, f"http://{self.addresses[name]}{path}", body, timeout_s
@@ -353,40 +359,44 @@
         until = self.now() + 60.0
         while self.now() < until:
             asked = self.now()
-            status, answer = await self.ask("POST", "/api/jobs", body, node)
+            status, answer = await self.send_user_request("POST", "/api/jobs", body, node)
             if status in (200, 201):
                 self.accepted.add(spec.id)
                 self.user_told(spec.id, answer["phase"], asked)
                 return True
             if status in (400, 422):
                 if spec.id in self.accepted:
-                    self.note("forgotten", f"{spec.id}: {status}")
+                    self.record_violation("forgotten", f"{spec.id}: {status}")
                 return False
             await asyncio.sleep(1.0)
         return False
 
     async def poll(self, job_id: str, node: str | None = None) -> str | None:
         asked = self.now()
-        status, answer = await self.ask("GET", f"/api/jobs/{job_id}", node=node, timeout_s=2.0)
+        status, answer = await self.send_user_request(
+            "GET", f"/api/jobs/{job_id}", node=node, timeout_s=2.0
+        )
         if status == 404 and job_id in self.accepted:
-            self.note("forgotten", f"{job_id}: 404")
+            self.record_violation("forgotten", f"{job_id}: 404")
         if status != 200:
             return None
         self.user_told(job_id, answer["phase"], asked)
         return answer["phase"]
 
     async def withdraw(self, job_id: str, node: str | None = None) -> None:
-        self.asked_to_cancel.add(job_id)
+        self.withdrawal_requested.add(job_id)
         until = self.now() + 60.0
         while self.now() < until:
             asked = self.now()
-            status, answer = await self.ask("POST", f"/api/jobs/{job_id}/withdraw", node=node)
+            status, answer = await self.send_user_request(
+                "POST", f"/api/jobs/{job_id}/withdraw", node=node
+            )
             if status == 200:
                 self.user_told(job_id, answer["phase"], asked)
                 return
             await asyncio.sleep(1.0)
 
-    async def follow(self, job_id: str) -> None:
+    async def poll_until_final(self, job_id: str) -> None:
         phase = await self.poll(job_id)
         while phase not in ("done", "withdrawn"):
             await asyncio.sleep(5.0)
--- a/tests/test_authority.py
+++ b/tests/test_authority.py
@@ -23,9 +23,9 @@
 from mosswalk.store.mirror import Mirror
 from mosswalk.store.writer import Change, GroupWriter
 from mosswalk.wire import state as wire
+from tests.fakes import FakeClock, FakeStateClient, InMemoryStore
 from tests.loopback import StateService, free_port
-from tests.standins import FakeClient, FakeClock, Store
-from tests.test_config import write
+from tests.test_config import write_settings
 
 S = 1_000_000
 WINDOW_US = 1_200_000
@@ -35,11 +35,11 @@
     """A controller's leadership with its fence, on a store that others change."""
 
     def __init__(self, tmp_path):
-        self.store, self.clock = Store(), FakeClock()
-        self.client = FakeClient(self.store)
+        self.store, self.clock = InMemoryStore(), FakeClock()
+        self.client = FakeStateClient(self.store)
         self.client.renew = self.renew
         self.mirror = Mirror(self.client, self.clock, random.Random(1))
-        settings = load(write(tmp_path))
+        settings = load(write_settings(tmp_path))
         self.leadership = Leadership(
             settings, self.client, self.mirror, self.clock, random.Random(2)
         )
@@ -136,7 +136,7 @@
     async def run():
         await node.lead()
         running = asyncio.create_task(node.writer.run())
-        change, sent = node.change(), node.client.commits
+        change, sent = node.change(), node.client.commit_count
         if when == "queued before":
             work = asyncio.create_task(node.writer.commit(change))
             node.depose()
@@ -147,7 +147,7 @@
             work = asyncio.create_task(node.writer.commit(change))
         with pytest.raises(ConflictError):
             await work
-        assert node.client.commits == sent
+        assert node.client.commit_count == sent
         running.cancel()
 
     asyncio.run(run())
@@ -157,17 +157,17 @@
     async def run():
         await node.lead()
         running = asyncio.create_task(node.writer.run())
-        node.client.plan.append("blind")
+        node.client.planned_results.append("blind")
         work = asyncio.create_task(node.writer.commit(node.change()))
         for _ in range(20):
             await asyncio.sleep(0)
-        assert node.client.commits == 2
+        assert node.client.commit_count == 2
         node.depose()
         node.freeze()
         with pytest.raises(ConflictError):
             await work
         # It was carried out the first time: only the state service could tell.
-        assert "m/j/x" in node.store.rows and node.client.commits == 3
+        assert "m/j/x" in node.store.rows and node.client.commit_count == 3
         running.cancel()
 
     asyncio.run(run())
@@ -218,11 +218,11 @@
 def test_no_term_is_stood_for_between_a_freeze_and_its_confirmation(node):
     async def run():
         await node.lead()
-        sent = node.client.commits
+        sent = node.client.commit_count
         node.freeze()
         with pytest.raises(RefusedError):
             await node.leadership._campaign("test")
-        assert node.client.commits == sent
+        assert node.client.commit_count == sent
 
     asyncio.run(run())
 
@@ -294,10 +294,10 @@
             runner = await listen(self.service.app(), f"127.0.0.1:{self.port}")
             stack.push_async_callback(runner.cleanup)
             self.lease = self.service.store.grant()
-            self.service.deadlines[self.lease] = (time.monotonic() + 1.0, 1.0)
+            self.service.lease_deadlines[self.lease] = (time.monotonic() + 1.0, 1.0)
             self.ready.set()
             while not self.over:
-                self.service.expire()
+                self.service.expire_leases()
                 await asyncio.sleep(0.02)
 
 
@@ -318,7 +318,7 @@
         time.sleep(0.1)
         if alive:
             progress.last_progress_at_us = clock.now_us()
-    assert (state.lease in state.service.deadlines) is alive
+    assert (state.lease in state.service.lease_deadlines) is alive
     assert renewer.renewals > 0
     renewer.stop()
     renewer.join(5)
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -4,8 +4,8 @@
 import pytest
 
 from mosswalk.cli import main
-from tests.standins import spec
-from tests.test_config import write
+from tests.fakes import job_spec
+from tests.test_config import write_settings
 
 
 def test_help_and_version_are_there(capsys):
@@ -17,7 +17,7 @@
 
 
 def test_settings_are_checked(tmp_path, capsys):
-    assert main(["check", "--config", str(write(tmp_path))]) == 0
+    assert main(["check", "--config", str(write_settings(tmp_path))]) == 0
     assert "good" in capsys.readouterr().out
     assert main(["check", "--config", str(tmp_path / "none.toml")]) == 2
     assert "none.toml" in capsys.readouterr().err
@@ -39,6 +39,6 @@
 
 def test_a_bad_description_is_told_before_anything_is_sent(tmp_path, capsys):
     path = tmp_path / "job.json"
-    path.write_bytes(msgspec.json.encode(spec(tasks=1)).replace(b'"cores":1.0', b'"cores":"x"'))
+    path.write_bytes(msgspec.json.encode(job_spec(tasks=1)).replace(b'"cores":1.0', b'"cores":"x"'))
     assert main(["submit", str(path), "--server", "127.0.0.1:1"]) == 2
     assert "cores" in capsys.readouterr().err
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -11,8 +11,8 @@
 from mosswalk.fleet import manager
 from mosswalk.peers import health
 from mosswalk.store import mirror
+from tests.fakes import job_spec
 from tests.loopback import LEASE_S, LoopbackCluster
-from tests.standins import spec
 
 
 class Users:
@@ -70,7 +70,7 @@
                 "POST",
                 "/api/jobs",
                 lambda s, b: s == 422,
-                body=msgspec.json.encode(spec("j-000999", team="none")),
+                body=msgspec.json.encode(job_spec("j-000999", team="none")),
             )
             await test(world, users)
             assert world.broken == []
@@ -80,16 +80,16 @@
 
 def test_every_status_a_user_can_get():
     async def test(world, users):
-        assert await users.submit(spec()) == (201, {"ref": "j-000001", "phase": "pending"})
-        status, _ = await users.submit(spec(), "moss-1")
+        assert await users.submit(job_spec()) == (201, {"ref": "j-000001", "phase": "pending"})
+        status, _ = await users.submit(job_spec(), "moss-1")
         assert status == 200
         # An accepted job is known however it is sent again.
         assert (await users.call("POST", "/api/jobs", {"ref": "j-000001", "pieces": -1}))[0] == 200
-        assert (await users.submit(spec(team="nobody")))[0] == 200
+        assert (await users.submit(job_spec(team="nobody")))[0] == 200
         assert (await users.call("POST", "/api/jobs", b"[1"))[0] == 400
         assert (await users.call("POST", "/api/jobs", {"ref": "j-000002"}))[0] == 400
-        assert (await users.submit(spec("j-000003", cpus=64.0)))[0] == 422
-        assert (await users.submit(spec("j-000003", team="nobody")))[0] == 422
+        assert (await users.submit(job_spec("j-000003", cpus=64.0)))[0] == 422
+        assert (await users.submit(job_spec("j-000003", team="nobody")))[0] == 422
         status, body = await users.call("POST", "/api/jobs", b" " * 70_000)
         assert status == 413 and body["error"]
         assert (await users.call("GET", "/api/jobs/j-404404"))[0] == 404
@@ -100,7 +100,7 @@
         assert (await users.call("GET", "/metrics"))[0] == 200
         _, body = await users.done("j-000001")
         assert body == {"ref": "j-000001", "phase": "done", "done": 4, "running": 0}
-        assert (await users.submit(spec()))[1]["phase"] == "done"
+        assert (await users.submit(job_spec()))[1]["phase"] == "done"
         assert (await users.call("POST", "/api/jobs/j-000001/withdraw"))[1]["phase"] == "done"
 
     cluster(test)
@@ -109,7 +109,7 @@
 def test_a_withdrawn_service_is_gone_everywhere_and_stays_withdrawn():
     async def test(world, users):
         world.services.add("j-000005")
-        await users.submit(spec("j-000005", kind="daemon", tasks=3, spread=True, spot=False))
+        await users.submit(job_spec("j-000005", kind="daemon", tasks=3, spread=True, spot=False))
         await users.eventually(
             "GET", "/api/jobs/j-000005", lambda s, b: s == 200 and len(world.on) == 3
         )
@@ -117,7 +117,7 @@
         assert (status, body["phase"]) == (200, "withdrawn")
         await until(lambda: not world.on)
         assert not world.on
-        assert (await users.submit(spec("j-000005", kind="daemon")))[1]["phase"] == "withdrawn"
+        assert (await users.submit(job_spec("j-000005", kind="daemon")))[1]["phase"] == "withdrawn"
 
     cluster(test)
 
@@ -126,13 +126,13 @@
     async def test(world, users):
         world.task_s = 0.8
         for i in range(4):
-            await users.submit(spec(f"j-00001{i}", tasks=6, team="red" if i % 2 else "blue"))
+            await users.submit(job_spec(f"j-00001{i}", tasks=6, team="red" if i % 2 else "blue"))
         await asyncio.sleep(1.2)
         leader = world.leader()
         await world.kill_controller(leader)
         for i in range(4):
             await users.done(f"j-00001{i}")
-        await users.submit(spec("j-000020", tasks=5))
+        await users.submit(job_spec("j-000020", tasks=5))
         for name in list(world.controllers):
             await world.kill_controller(name)
         for name in world.addresses:
@@ -146,7 +146,7 @@
 def test_many_machines_outlast_a_restart_of_all_controllers():
     async def test(world, users):
         world.services.add("j-000025")
-        await users.submit(spec("j-000025", kind="daemon", tasks=48, cpus=4.0, spot=False))
+        await users.submit(job_spec("j-000025", kind="daemon", tasks=48, cpus=4.0, spot=False))
         await until(lambda: len(world.on) == 48, 20.0)
         where = dict(world.on)
         assert len(set(where.values())) == 48
@@ -177,20 +177,23 @@
 def test_an_outage_of_the_state_service_is_told_at_once_and_survived():
     async def test(world, users):
         world.services.add("j-000030")
-        await users.submit(spec("j-000030", kind="daemon", tasks=2, spot=False))
+        await users.submit(job_spec("j-000030", kind="daemon", tasks=2, spot=False))
         await users.eventually("GET", "/healthz", lambda s, b: len(world.on) == 2)
         where = dict(world.on)
         world.state.down = True
         await asyncio.sleep(0.1)
         begun = asyncio.get_running_loop().time()
-        status, _ = await users.submit(spec("j-000031"))
+        status, _ = await users.submit(job_spec("j-000031"))
         assert status == 503 and int(users.headers["Retry-After"]) >= 1
         assert asyncio.get_running_loop().time() - begun < 1.0
         assert (await users.call("GET", "/api/jobs/j-000030"))[0] == 503
         await asyncio.sleep(1.0)
         world.state.down = False
         await users.eventually(
-            "POST", "/api/jobs", lambda s, b: s == 201, body=msgspec.json.encode(spec("j-000031"))
+            "POST",
+            "/api/jobs",
+            lambda s, b: s == 201,
+            body=msgspec.json.encode(job_spec("j-000031")),
         )
         await users.done("j-000031")
         assert world.on.items() >= where.items()
@@ -202,7 +205,7 @@
     async def test(world, users):
         world.services.add("j-000040")
         world.never_boots.add(0)
-        await users.submit(spec("j-000040", kind="daemon", tasks=1, spot=False))
+        await users.submit(job_spec("j-000040", kind="daemon", tasks=1, spot=False))
         await users.eventually("GET", "/healthz", lambda s, b: len(world.on) == 1)
         first = world.on["j-000040/0"]
         world.kill_machine(first)
@@ -210,7 +213,7 @@
             "GET", "/healthz", lambda s, b: world.on.get("j-000040/0", first) != first, 20.0
         )
         world.sick.add(world.on["j-000040/0"])
-        await users.submit(spec("j-000041", tasks=6))
+        await users.submit(job_spec("j-000041", tasks=6))
         await users.done("j-000041", 20.0)
 
     cluster(test)
@@ -219,8 +222,8 @@
 def test_teams_keep_to_their_limits_and_a_job_beyond_one_chunk_is_run():
     async def test(world, users):
         world.task_s = 0.05
-        await users.submit(spec("j-000050", tasks=300, cpus=0.25, memory_gb=0.1))
-        await users.submit(spec("j-000051", tasks=8, team="blue", cpus=2.0))
+        await users.submit(job_spec("j-000050", tasks=300, cpus=0.25, memory_gb=0.1))
+        await users.submit(job_spec("j-000051", tasks=8, team="blue", cpus=2.0))
         most = 0
         for _ in range(400):
             on = [t for t in world.on if t.startswith("j-000051")]
@@ -239,7 +242,7 @@
 def test_a_machine_that_nothing_reaches_is_replaced_though_it_reports():
     async def test(world, users):
         world.services.add("j-000060")
-        await users.submit(spec("j-000060", kind="daemon", tasks=1, spot=False))
+        await users.submit(job_spec("j-000060", kind="daemon", tasks=1, spot=False))
         await users.eventually("GET", "/healthz", lambda s, b: len(world.on) == 1)
         first = world.on["j-000060/0"]
         world.workers[first][0].deaf = True
@@ -255,7 +258,7 @@
 def test_workers_are_drawn_over_from_a_leader_cut_off_from_all_but_them():
     async def test(world, users):
         world.services.add("j-000070")
-        await users.submit(spec("j-000070", kind="daemon", tasks=3, spot=False))
+        await users.submit(job_spec("j-000070", kind="daemon", tasks=3, spot=False))
         await users.eventually("GET", "/healthz", lambda s, b: len(world.on) == 3)
         where, old = dict(world.on), world.leader()
         world.cut_off(old)
@@ -271,7 +274,7 @@
         await until(moved)
         # The old one would answer them for 9.4 s.
         assert moved()
-        await users.submit(spec("j-000071"), others[0])
+        await users.submit(job_spec("j-000071"), others[0])
         _, body = await users.eventually(
             "GET",
             "/api/jobs/j-000071",
@@ -289,7 +292,7 @@
 
     async def test(world, users):
         world.services.add("j-000075")
-        await users.submit(spec("j-000075", kind="daemon", tasks=4, cpus=4.0, spot=False))
+        await users.submit(job_spec("j-000075", kind="daemon", tasks=4, cpus=4.0, spot=False))
         await users.eventually("GET", "/healthz", lambda s, b: len(world.on) == 4)
         await asyncio.sleep(1.0)
         where, old = dict(world.on), world.leader()
@@ -317,7 +320,7 @@
             await world.start_controller(inside)
         world.services.update({"j-000076", "j-000077"})
         for job_id in ("j-000076", "j-000077"):
-            job = spec(job_id, kind="daemon", tasks=4, cpus=2.0, spot=False, zone="b")
+            job = job_spec(job_id, kind="daemon", tasks=4, cpus=2.0, spot=False, zone="b")
             await users.submit(job, outside[0])
         await until(lambda: len(world.on) == 8)
         where = dict(world.on)
@@ -339,9 +342,9 @@
 
 def test_a_controller_refused_alone_says_so_and_its_users_still_get_answers():
     async def test(world, users):
-        await users.submit(spec("j-000080"))
+        await users.submit(job_spec("j-000080"))
         await users.done("j-000080")
-        await users.submit(spec("j-000081", kind="daemon", tasks=1, spot=False))
+        await users.submit(job_spec("j-000081", kind="daemon", tasks=1, spot=False))
         alone = next(n for n in world.controllers if n != world.leader())
         world.state.refused.add(alone)
         await users.eventually("GET", "/healthz", lambda s, b: s == 503, 8.0, node=alone)
@@ -359,7 +362,7 @@
 def test_late_copies_of_reports_prove_nothing_to_the_next_leader():
     async def test(world, users):
         world.task_s = 6.0
-        await users.submit(spec("j-000090", tasks=2))
+        await users.submit(job_spec("j-000090", tasks=2))
         await users.eventually("GET", "/healthz", lambda s, b: len(world.on) == 2)
         name = world.on["j-000090/0"]
         copy = world.workers[name][0].report()
@@ -379,7 +382,7 @@
             await asyncio.sleep(0.05)
         inventory = world.controllers[leader][0].manager.inventory
         assert "vm-ghost" not in inventory.machines
-        await users.submit(spec("j-000091", tasks=12))
+        await users.submit(job_spec("j-000091", tasks=12))
         await users.done("j-000090")
         await users.done("j-000091", 25.0)
 
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -37,7 +37,7 @@
 """
 
 
-def write(tmp_path, toml=TOML, hcl=None):
+def write_settings(tmp_path, toml=TOML, hcl=None):
     path = tmp_path / "node.toml"
     path.write_text(toml)
     if hcl is not None:
@@ -46,15 +46,15 @@
 
 
 def test_the_platforms_file_is_read_and_unknown_fields_are_ignored(tmp_path):
-    settings = load(write(tmp_path))
+    settings = load(write_settings(tmp_path))
     assert settings.params.teams[0].cpus == 4.0
     assert settings.tuning.factory.period_s > 0
 
 
 def test_the_operators_file_changes_what_it_names_and_nothing_else(tmp_path):
     hcl = 'factory {\n  load_high = 2\n  unheard_of = 1\n}\nteam "red" {\n  share = 2.5\n}\n'
-    plain = load(write(tmp_path)).tuning
-    tuned = load(write(tmp_path, hcl=hcl)).tuning
+    plain = load(write_settings(tmp_path)).tuning
+    tuned = load(write_settings(tmp_path, hcl=hcl)).tuning
     assert tuned.factory.load_high == 2 and tuned.shares == {"red": 2.5}
     assert tuned.factory.period_s == plain.factory.period_s
 
@@ -72,7 +72,7 @@
     ],
 )
 def test_bad_settings_end_with_one_line_naming_file_and_field(tmp_path, capsys, old, new, field):
-    path = write(tmp_path, TOML.replace(old, new, 1))
+    path = write_settings(tmp_path, TOML.replace(old, new, 1))
     assert main(["--config", str(path)]) == 2
     told = capsys.readouterr().err.strip()
     assert "\n" not in told and str(path) in told and field in told
@@ -90,7 +90,7 @@
 )
 def test_bad_operator_settings_name_file_and_field(tmp_path, hcl, field):
     with pytest.raises(SettingsError, match=field) as error:
-        load(write(tmp_path, hcl=hcl))
+        load(write_settings(tmp_path, hcl=hcl))
     assert "node.hcl" in str(error.value)
 
 
--- a/tests/test_desk.py
+++ b/tests/test_desk.py
@@ -11,23 +11,23 @@
 from mosswalk.store import records
 from mosswalk.store.mirror import Mirror
 from mosswalk.store.writer import GroupWriter
-from tests.standins import FakeClient, Store, shape, spec
-from tests.test_config import write
+from tests.fakes import FakeStateClient, InMemoryStore, job_spec, machine_type
+from tests.test_config import write_settings
 
 
 def test_a_submission_that_would_wait_for_nothing_is_told_so_at_once(tmp_path):
     async def run():
-        settings, clock, rng = load(write(tmp_path)), SystemClock(), random.Random(1)
-        client = FakeClient(Store())
+        settings, clock, rng = load(write_settings(tmp_path)), SystemClock(), random.Random(1)
+        client = FakeStateClient(InMemoryStore())
         mirror = Mirror(client, clock, rng)
         # Nobody empties its queue, at 10 writes a second.
         writer = GroupWriter(client, clock, rng, 10.0, 4)
         job_service = JobService(settings, client, mirror, writer, clock, rng)
-        job_service._types_changed("", records.encode([shape()]), 1)
+        job_service._types_changed("", records.encode([machine_type()]), 1)
         team = settings.params.teams[0].name
 
         def submit(i):
-            return job_service.submit(msgspec.json.encode(spec(f"j-{i:06d}", team=team)))
+            return job_service.submit(msgspec.json.encode(job_spec(f"j-{i:06d}", team=team)))
 
         queued = [asyncio.ensure_future(submit(i)) for i in range(13)]
         await asyncio.sleep(0.01)
--- a/tests/test_detection_cluster.py
+++ b/tests/test_detection_cluster.py
@@ -14,12 +14,12 @@
 from mosswalk.detection.quorum import ReceivedHeartbeat
 from mosswalk.store.records import Verdict
 from mosswalk.wire.peers import Heartbeat, LinkRow
-from tests.fault_injection import Fault, freeze_one, play_day
+from tests.fakes import job_spec
+from tests.fault_injection import Fault, freeze_controller, run_scenario
 from tests.simulation import Simulation
-from tests.standins import spec
 from tests.term_history import TermHistory
-from tests.test_meetings import MEETINGS
-from tests.virtual import play
+from tests.test_meetings import FAULT_COMBINATIONS
+from tests.virtual_time import run_in_virtual_time
 
 TTL_S = 6.0
 ON = Tuning(leadership=LeadershipTuning(ttl_s=TTL_S), detection=DetectionTuning())
@@ -35,16 +35,18 @@
     """Play a test in a region whose detection is in force."""
 
     async def day():
-        region = Simulation(7, count=count, tuning=tuning, **({"teams": teams} if teams else {}))
+        region = Simulation(
+            7, controller_count=count, tuning=tuning, **({"teams": teams} if teams else {})
+        )
         region.start()
-        await region.until(lambda: in_force(region), 20.0)
+        await region.wait_until(lambda: in_force(region), 20.0)
         await asyncio.sleep(SETTLED_S)
         assert in_force(region)
         await test(region)
-        assert region.broken == []
+        assert region.violations == []
         history(region).check()
 
-    play(day())
+    run_in_virtual_time(day())
 
 
 def in_force(region):
@@ -63,7 +65,7 @@
 
 
 def follower(region, index=0):
-    return [name for name in region.names if name != region.leader()][index]
+    return [name for name in region.controller_names if name != region.leader()][index]
 
 
 def state(region, observer, node):
@@ -72,10 +74,10 @@
 
 async def held(region, pairs, for_s):
     over = asyncio.Event()
-    region.network.holds.update(dict.fromkeys(pairs, over))
+    region.network.held_pairs.update(dict.fromkeys(pairs, over))
     await asyncio.sleep(for_s)
     for pair in pairs:
-        region.network.holds.pop(pair)
+        region.network.held_pairs.pop(pair)
     over.set()
 
 
@@ -84,7 +86,7 @@
         leader, began, before = region.leader(), region.now(), epoch(region)
         run = controller(region, leader).leadership.run_id
         region.kill_controller(leader)
-        await region.until(lambda: region.leader() not in (None, leader), 20.0)
+        await region.wait_until(lambda: region.leader() not in (None, leader), 20.0)
         assert region.now() - began < 0.75 * TTL_S
         verdict = history(region).verdicts()[-1]
         assert (verdict.node, verdict.run, verdict.reason) == (leader, run, "quorum")
@@ -98,7 +100,7 @@
         leader = region.leader()
         region.kill_controller(leader)
         region.kill_controller(follower(region))
-        await region.until(lambda: len(history(region).verdicts()) == 2, 30.0)
+        await region.wait_until(lambda: len(history(region).verdicts()) == 2, 30.0)
         assert {v.reason for v in history(region).verdicts()} <= {"quorum", "lease"}
 
     begin(test, count=5)
@@ -111,7 +113,7 @@
         region.kill_controller(back)
         await asyncio.sleep(12.0)
         region.start_controller(back)
-        await region.until(lambda: back in history(region).terms[-1][1].owners.values(), 20.0)
+        await region.wait_until(lambda: back in history(region).terms[-1][1].owners.values(), 20.0)
         assert back in history(region).terms[-1][1].owners.values()
         assert gone not in history(region).terms[-1][1].runs
 
@@ -122,7 +124,7 @@
     async def test(region):
         for name in (region.leader(), follower(region)):
             region.kill_controller(name)
-        await region.until(lambda: region.leader() is not None, 30.0)
+        await region.wait_until(lambda: region.leader() is not None, 30.0)
         assert [v.reason for v in history(region).verdicts()] == ["lease", "lease"]
 
     begin(test)
@@ -135,11 +137,13 @@
         name = region.leader() if who == "leader" else follower(region)
         before = epoch(region)
         for _ in range(5):
-            await freeze_one(region, name, for_s)
+            await freeze_controller(region, name, for_s)
             await asyncio.sleep(8.0)
         assert epoch(region) == before and not history(region).verdicts()
         if for_s > DETECTION.floor_s + 1.0:
-            assert any(state(region, o, name).suspicions for o in region.names if o != name)
+            assert any(
+                state(region, o, name).suspicions for o in region.controller_names if o != name
+            )
 
     begin(test)
 
@@ -151,11 +155,11 @@
         await asyncio.sleep(SETTLED_S)
         before = epoch(region)
         for _ in range(5):
-            await freeze_one(region, region.leader(), 3.5)
+            await freeze_controller(region, region.leader(), 3.5)
             await asyncio.sleep(8.0)
         assert epoch(region) > before
 
-    play(day())
+    run_in_virtual_time(day())
 
 
 @pytest.mark.parametrize("who", ["leader", "owner"])
@@ -163,7 +167,7 @@
     async def test(region):
         name = region.leader() if who == "leader" else follower(region)
         before = epoch(region)
-        await freeze_one(region, name, 9.0)
+        await freeze_controller(region, name, 9.0)
         verdicts = history(region).verdicts()
         assert [v.node for v in verdicts] == [name]
         await asyncio.sleep(20.0)
@@ -178,8 +182,8 @@
 def test_all_stalled_at_once_suspect_nobody():
     async def test(region):
         before = epoch(region)
-        names = list(region.names)
-        await asyncio.gather(*(freeze_one(region, name, 4.0) for name in names))
+        names = list(region.controller_names)
+        await asyncio.gather(*(freeze_controller(region, name, 4.0) for name in names))
         await asyncio.sleep(10.0)
         assert epoch(region) == before and not history(region).verdicts()
         assert not any(c.detector.metrics().suspicions for c, _ in region.controllers.values())
@@ -191,15 +195,15 @@
     async def test(region):
         leader, other = region.leader(), follower(region)
         cut = asyncio.create_task(held(region, {(leader, other), (other, leader)}, 20.0))
-        await region.until(lambda: state(region, leader, other).suspected, 10.0)
-        await region.until(lambda: state(region, other, leader).suspected, 10.0)
+        await region.wait_until(lambda: state(region, leader, other).suspected, 10.0)
+        await region.wait_until(lambda: state(region, other, leader).suspected, 10.0)
         assert state(region, leader, other).state == "unheard"
         assert state(region, other, leader).state == "unheard"
-        await region.until(lambda: history(region).verdicts(), 10.0)
+        await region.wait_until(lambda: history(region).verdicts(), 10.0)
         assert [(v.node, v.reason) for v in history(region).verdicts()] == [(other, "cut_off")]
         assert region.leader() == leader
         await cut
-        await region.until(lambda: other in history(region).terms[-1][1].owners.values(), 60.0)
+        await region.wait_until(lambda: other in history(region).terms[-1][1].owners.values(), 60.0)
         assert other in history(region).terms[-1][1].owners.values()
 
     begin(test)
@@ -213,7 +217,7 @@
         leader, other = region.leader(), follower(region)
         pair = (leader, other) if way == 0 else (other, leader)
         cut = asyncio.create_task(held(region, {pair}, 12.0))
-        await region.until(lambda: state(region, leader, other).suspected, 10.0)
+        await region.wait_until(lambda: state(region, leader, other).suspected, 10.0)
         seen_here, seen_there = set(), set()
         while not cut.done():
             seen_here.add(state(region, leader, other).state)
@@ -233,11 +237,11 @@
 
     async def test(region):
         leader, other = region.leader(), follower(region)
-        region.network.refuses.add((leader, other))
-        await region.until(lambda: state(region, leader, other).suspected, 10.0)
+        region.network.refused_pairs.add((leader, other))
+        await region.wait_until(lambda: state(region, leader, other).suspected, 10.0)
         assert state(region, leader, other).state == "unhearing"
-        await region.until(lambda: history(region).verdicts(), 10.0)
-        region.network.refuses.discard((leader, other))
+        await region.wait_until(lambda: history(region).verdicts(), 10.0)
+        region.network.refused_pairs.discard((leader, other))
         assert [(v.node, v.reason) for v in history(region).verdicts()] == [(other, "cut_off")]
 
     begin(test)
@@ -268,7 +272,7 @@
         assert len(history(region).terms) == began
         assert not any(controller(region, o).detector.metrics().verdicts for o in others)
         region.state.end_outage()
-        await region.until(lambda: region.leader() is not None, 20.0)
+        await region.wait_until(lambda: region.leader() is not None, 20.0)
         assert history(region).verdicts()[-1].node == leader
 
     begin(test)
@@ -278,10 +282,10 @@
     async def test(region):
         name = follower(region)
         over = asyncio.Event()
-        region.network.hangs[name] = over
-        region.loop.frozen.setdefault(name, [])
-        await region.until(lambda: state(region, region.leader(), name).suspected, 10.0)
-        region.network.hangs.pop(name)
+        region.network.hung_hosts[name] = over
+        region.loop.frozen_callbacks.setdefault(name, [])
+        await region.wait_until(lambda: state(region, region.leader(), name).suspected, 10.0)
+        region.network.hung_hosts.pop(name)
         over.set()
         region.kill_controller(name)
         region.start_controller(name)
@@ -296,16 +300,16 @@
 def test_a_leader_without_state_service_and_peers_is_judged_and_fenced():
     async def test(region):
         leader = region.leader()
-        pairs = {(leader, o) for o in region.names if o != leader}
+        pairs = {(leader, o) for o in region.controller_names if o != leader}
         pairs |= {(o, leader) for _, o in pairs}
-        region.network.refuses |= pairs
-        region.state.refused.add(leader)
-        await region.until(
+        region.network.refused_pairs |= pairs
+        region.state.refused_senders.add(leader)
+        await region.wait_until(
             lambda: region.leader() not in (None, leader) or history(region).verdicts(), 20.0
         )
         await asyncio.sleep(3.0)
-        region.network.refuses -= pairs
-        region.state.refused.discard(leader)
+        region.network.refused_pairs -= pairs
+        region.state.refused_senders.discard(leader)
         assert [(v.node, v.reason) for v in history(region).verdicts()] == [(leader, "quorum")]
         await asyncio.sleep(8.0)
         assert region.leader() != leader
@@ -316,14 +320,14 @@
 def test_a_leader_apart_from_its_peers_alone_is_fenced_once_and_not_over_and_over():
     async def test(region):
         leader = region.leader()
-        pairs = {(leader, o) for o in region.names if o != leader}
+        pairs = {(leader, o) for o in region.controller_names if o != leader}
         pairs |= {(o, leader) for _, o in pairs}
-        region.network.refuses |= pairs
+        region.network.refused_pairs |= pairs
         await asyncio.sleep(60.0)
         verdicts = [v for v in history(region).verdicts() if v.reason == "quorum"]
         assert [v.node for v in verdicts] == [leader]
         before = epoch(region)
-        region.network.refuses -= pairs
+        region.network.refused_pairs -= pairs
         await asyncio.sleep(40.0)
         assert epoch(region) <= before + 1
 
@@ -335,8 +339,8 @@
         leader, other = region.leader(), follower(region)
         owners = history(region).terms[-1][1].owners
         team = next(team for team, owner in owners.items() if owner == other)
-        await region.submit(spec("j-000001", team=team, tasks=2), 60.0, leader)
-        await region.until(lambda: len(region.on) == 2)
+        await region.submit(job_spec("j-000001", team=team, tasks=2), 60.0, leader)
+        await region.wait_until(lambda: len(region.running_on) == 2)
         manager, offered = controller(region, leader).manager, []
         send = manager._send_offer
 
@@ -346,13 +350,13 @@
 
         manager._send_offer = record
         cut = asyncio.create_task(held(region, {(leader, other), (other, leader)}, 3.4))
-        await region.until(lambda: state(region, leader, other).suspected, 10.0)
-        await region.submit(spec("j-000002", team=team, tasks=1), 20.0, leader)
+        await region.wait_until(lambda: state(region, leader, other).suspected, 10.0)
+        await region.submit(job_spec("j-000002", team=team, tasks=1), 20.0, leader)
         await asyncio.sleep(1.0)
         assert state(region, leader, other).suspected and other not in offered
         assert history(region).terms[-1][1].owners == owners
         await cut
-        await region.until(lambda: len(region.on) == 3, 60.0)
+        await region.wait_until(lambda: len(region.running_on) == 3, 60.0)
         assert other in offered
 
     begin(test)
@@ -366,7 +370,7 @@
     original = region.network.call
 
     async def call(sender, method, url, body, timeout_s):
-        await region.network.awake(sender)
+        await region.network.wait_while_hung(sender)
         calls.append((region.now(), sender, method, url, body))
         return await original(sender, method, url, body, timeout_s)
 
@@ -396,7 +400,7 @@
         record_calls(region, calls)
         await asyncio.sleep(4.0)
         for i in range(16):
-            job = spec(f"j-{i:06d}", tasks=3, team="red" if i % 2 else "blue")
+            job = job_spec(f"j-{i:06d}", tasks=3, team="red" if i % 2 else "blue")
             region.network.spawn(region.submit(job, 4.0))
             if region.now() < at_s:
                 await asyncio.sleep(min(2.0, at_s - region.now()))
@@ -404,7 +408,7 @@
         name = region.leader() if who == "leader" else follower(region)
         if name is None:
             return
-        await freeze_one(region, name, for_s)
+        await freeze_controller(region, name, for_s)
         woke = region.now()
         await asyncio.sleep(6.0)
         own = [call for call in calls if call[0] >= woke and call[1] == name]
@@ -412,17 +416,17 @@
         assert asked is not None
         assert not [call for call in own[:asked] if is_act(call)]
         await asyncio.sleep(60.0)
-        assert region.broken == []
+        assert region.violations == []
         history(region).check()
 
-    play(day())
+    run_in_virtual_time(day())
 
 
-@pytest.mark.parametrize("meeting", MEETINGS)
+@pytest.mark.parametrize("meeting", FAULT_COMBINATIONS)
 def test_no_rule_breaks_with_detection_where(meeting):
-    troubles, jobs, seed = MEETINGS[meeting]
-    region = play_day(seed, troubles, jobs, tuning=ON)
-    assert region.broken == []
+    troubles, jobs, seed = FAULT_COMBINATIONS[meeting]
+    region = run_scenario(seed, troubles, jobs, tuning=ON)
+    assert region.violations == []
     assert region.counts["started"] > 20
     history(region).check()
 
@@ -431,8 +435,8 @@
 def test_no_rule_breaks_where_one_direction_is_lost_and_the_leader_stands_still(pick):
     """To and from other controllers, the state service and the workers."""
     troubles = [Fault(25.0, "one_way", 20.0, pick), Fault(33.0, "freeze", 7.0, 1)]
-    region = play_day(pick, troubles, tuning=ON)
-    assert region.broken == []
+    region = run_scenario(pick, troubles, tuning=ON)
+    assert region.violations == []
     history(region).check()
 
 
@@ -452,18 +456,18 @@
     ),
 )
 def test_nothing_moves_before_a_verdict_whatever_happens(seed, troubles):
-    region = play_day(seed, troubles, jobs=10, tuning=ON)
-    assert region.broken == []
+    region = run_scenario(seed, troubles, job_count=10, tuning=ON)
+    assert region.violations == []
     history(region).check()
 
 
 def test_nobody_is_judged_where_one_of_five_never_took_part():
     async def day():
-        region = Simulation(3, count=5, tuning=ON)
+        region = Simulation(3, controller_count=5, tuning=ON)
         usual, off = region.settings, structs.replace(ON, detection=None)
 
         def mixed(name):
-            changed = {"tuning": off} if name == region.names[-1] else {}
+            changed = {"tuning": off} if name == region.controller_names[-1] else {}
             return structs.replace(usual(name), **changed)
 
         region.settings = mixed
@@ -472,12 +476,12 @@
         assert not any(term.detects for _, term in history(region).terms)
         gone = region.leader()
         region.kill_controller(gone)
-        await region.until(lambda: region.leader() is not None, 20.0)
+        await region.wait_until(lambda: region.leader() is not None, 20.0)
         rest = [c for c, _ in region.controllers.values() if c.detector is not None]
         assert rest and all(c.detector._suspicions[gone].suspected for c in rest)
         assert not any(c.detector.metrics().verdicts for c in rest)
 
-    play(day())
+    run_in_virtual_time(day())
 
 
 def test_a_silence_of_an_earlier_run_does_not_fence_the_present_one():
@@ -516,7 +520,7 @@
         region = Simulation(3, tuning=ON)
         region.tuning = ON
         region.start()
-        await region.until(lambda: in_force(region), 20.0)
+        await region.wait_until(lambda: in_force(region), 20.0)
         name = follower(region)
         region.kill_controller(name)
         region.tuning = structs.replace(ON, detection=None)
@@ -527,10 +531,10 @@
         assert not state(region, leader, name).suspected
         assert controller(region, name).detector is None
         region.kill_controller(leader)
-        await region.until(lambda: region.leader() is not None, 20.0)
-        await region.submit(spec("j-000001", tasks=2), 5.0)
+        await region.wait_until(lambda: region.leader() is not None, 20.0)
+        await region.submit(job_spec("j-000001", tasks=2), 5.0)
         await asyncio.sleep(40.0)
         assert await region.poll("j-000001") == "done"
-        assert region.broken == []
+        assert region.violations == []
 
-    play(day())
+    run_in_virtual_time(day())
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -11,15 +11,15 @@
 from mosswalk.leadership.actor import Leadership
 from mosswalk.store.client import ConflictError, UnknownOutcomeError
 from mosswalk.store.mirror import Mirror
-from tests.standins import FakeClient, FakeClock, Store
-from tests.test_config import write
+from tests.fakes import FakeClock, FakeStateClient, InMemoryStore
+from tests.test_config import write_settings
 
 
 class Node:
     """One controller's leadership, on a store that it shares with others."""
 
     def __init__(self, settings, store, clock, name):
-        self.client = FakeClient(store)
+        self.client = FakeStateClient(store)
         self.mirror = Mirror(self.client, clock, random.Random(1))
         self.leadership = Leadership(
             structs.replace(settings, host_name=name),
@@ -44,7 +44,7 @@
 
 
 def pair(tmp_path):
-    store, clock, settings = Store(), FakeClock(), load(write(tmp_path))
+    store, clock, settings = InMemoryStore(), FakeClock(), load(write_settings(tmp_path))
     return [Node(settings, store, clock, name) for name in ("moss-0", "moss-1")]
 
 
@@ -54,11 +54,11 @@
         for node in (slow, other):
             await node.see()
         # Its request is on its way when it stops; another is elected, and then it arrives.
-        slow.client.plan.append("late")
+        slow.client.planned_results.append("late")
         with pytest.raises(UnknownOutcomeError):
             await slow.leadership._campaign("nobody leads")
         await other.stand()
-        slow.client.deliver()
+        slow.client.commit_delayed()
         assert other.leadership.leads()
         # It goes on with what it saw before, and asks once more.
         with pytest.raises(ConflictError):
@@ -104,9 +104,9 @@
         await first.leadership._review_term()
         await first.see()
         assert not first.leadership.leads()
-        commits = first.client.commits
+        commits = first.client.commit_count
         await first.leadership._review_term()
-        assert first.client.commits == commits
+        assert first.client.commit_count == commits
         await other.see()
         await other.stand()
         assert other.leadership.leads() and other.leadership.term_number() == 2
--- a/tests/test_factory.py
+++ b/tests/test_factory.py
@@ -20,7 +20,7 @@
 from mosswalk.factory.view import FleetView, MachineView, Release, Rent, WaitingTasks
 from mosswalk.jobs.state import Job, new_record
 from mosswalk.placement.capacity import FreeCapacity, ZoneRule
-from tests.standins import shape, spec
+from tests.fakes import job_spec, machine_type
 from tests.test_placement import job as placed
 
 S = 1_000_000
@@ -82,18 +82,18 @@
 
 
 def test_a_task_weighs_by_its_scarcest_amount():
-    job = Job(new_record(spec(cpus=1.0, memory_gb=8.0), 0, 8), 1)
-    assert machine_share(job, shape()) == pytest.approx(0.5)
+    job = Job(new_record(job_spec(cpus=1.0, memory_gb=8.0), 0, 8), 1)
+    assert machine_share(job, machine_type()) == pytest.approx(0.5)
     assert FreeCapacity("vm", "small", "a", False, 1, 4000, 0, 16_000).max_tasks(job) == 2
 
 
 def waiting(count, **changes):
-    job = Job(new_record(spec(tasks=count, **changes), 0, 256), 1)
+    job = Job(new_record(job_spec(tasks=count, **changes), 0, 256), 1)
     return WaitingTasks(job, count, ZoneRule(False, count))
 
 
 def view(now_us, machines=(), tasks=(), calls=10):
-    return FleetView(now_us, {"small": shape()}, list(machines), list(tasks), calls)
+    return FleetView(now_us, {"small": machine_type()}, list(machines), list(tasks), calls)
 
 
 def machine(name, zone="a", spot=False, phase="up", idle_us=0, load=0.0, since_us=0):
@@ -247,8 +247,8 @@
 def test_steady_work_does_not_fill_a_large_machine_with_what_waits_for_spot_ones():
     """Seen in a bench day: a few replicas were given the dearest machine for its whole length."""
     types = {
-        "small": shape(price=0.26, spot_price=0.1),
-        "big": shape("big", cpus=64.0, memory_gb=512.0, price=4.8, spot_price=1.0),
+        "small": machine_type(price=0.26, spot_price=0.1),
+        "big": machine_type("big", cpus=64.0, memory_gb=512.0, price=4.8, spot_price=1.0),
     }
     batch = waiting(40)
     batch.waits_for_spot = True
@@ -329,17 +329,17 @@
 
 def test_scattered_room_holds_the_load_low_and_machines_are_rented_for_a_gang_all_the_same():
     """DESIGN's limit: L is 0.65 of 1.02, and no machine has room for a task of the gang."""
-    gang = Job(new_record(spec(kind="group", tasks=2, cpus=3.0, spot=False), 0, 8), 1)
+    gang = Job(new_record(job_spec(kind="group", tasks=2, cpus=3.0, spot=False), 0, 8), 1)
     machines = [
         MachineView(f"vm-{i}", ("small", "a", False), "up", 0, 0, True, None, 0.5)
         for i in range(10)
     ]
-    demand = sum(m.load for m in machines) + 2 * machine_share(gang, shape())
+    demand = sum(m.load for m in machines) + 2 * machine_share(gang, machine_type())
     assert load_ratio(demand, len(machines)) < 0.7
     waiting = [WaitingTasks(gang, 2, ZoneRule(False, 2), urgent=True)]
     factory = Factory(FactoryTuning())
     rents = []
     for now_us in (0, S):
-        view = FleetView(now_us, {"small": shape()}, machines, waiting, 10)
+        view = FleetView(now_us, {"small": machine_type()}, machines, waiting, 10)
         rents += [d for d in factory.decide(view) if isinstance(d, Rent)]
     assert len(rents) == 2
--- a/tests/test_gang_days.py
+++ b/tests/test_gang_days.py
@@ -4,12 +4,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.fault_injection import WITH_GANGS, Fault, play_day
-from tests.test_meetings import MEETINGS, meetings
+from tests.fault_injection import JOB_KINDS_WITH_GANGS, Fault, run_scenario
+from tests.test_meetings import FAULT_COMBINATIONS, fault_combinations
 
 LOSSES = {
     "nothing": [],
-    "machines die": [Fault(t, "die", pick=t % 2) for t in (12, 20, 28, 36, 50)],
+    "machines die": [Fault(t, "die", selector=t % 2) for t in (12, 20, 28, 36, 50)],
     "machines hang and go on": [Fault(t, "hang", 6, t % 2) for t in (10, 18, 26, 40)],
     "machines hang for longer than a lease": [Fault(15, "hang", 25), Fault(45, "hang", 25, 1)],
     "machines are taken back with notice": [
@@ -21,20 +21,20 @@
 
 @pytest.mark.parametrize("loss", LOSSES)
 def test_gangs_are_served_and_no_rule_breaks_where(loss):
-    region = play_day(sorted(LOSSES).index(loss) + 50, LOSSES[loss], 20, WITH_GANGS)
-    assert region.broken == []
+    region = run_scenario(sorted(LOSSES).index(loss) + 50, LOSSES[loss], 20, JOB_KINDS_WITH_GANGS)
+    assert region.violations == []
     assert region.counts["gangs_started"] >= 3
 
 
-@pytest.mark.parametrize("meeting", MEETINGS)
+@pytest.mark.parametrize("meeting", FAULT_COMBINATIONS)
 def test_no_rule_breaks_with_gangs_where(meeting):
-    troubles, jobs, seed = MEETINGS[meeting]
-    region = play_day(seed + 100, troubles, jobs, WITH_GANGS)
-    assert region.broken == []
+    troubles, jobs, seed = FAULT_COMBINATIONS[meeting]
+    region = run_scenario(seed + 100, troubles, jobs, JOB_KINDS_WITH_GANGS)
+    assert region.violations == []
     assert region.counts["gangs_started"] >= 1
 
 
 @settings(max_examples=25)
-@given(st.integers(0, 10**6), meetings())
+@given(st.integers(0, 10**6), fault_combinations())
 def test_no_rule_breaks_with_gangs_whatever_troubles_meet(seed, troubles):
-    assert play_day(seed, troubles, 10, WITH_GANGS).broken == []
+    assert run_scenario(seed, troubles, 10, JOB_KINDS_WITH_GANGS).violations == []
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -27,7 +27,7 @@
 from mosswalk.store.records import Attempt, RecordLimits
 from mosswalk.store.writer import Change
 from mosswalk.wire.workers import Command, Report, TaskReport
-from tests.standins import LIMITS, FakeClock, shape, spec
+from tests.fakes import RECORD_LIMITS, FakeClock, job_spec, machine_type
 from tests.test_jobs import MirrorOf
 from tests.test_offers import made, submit
 
@@ -36,7 +36,7 @@
 # Two tasks a record and two records besides the header a commit: placing takes two commits.
 CHUNK = 2
 FEW = RecordLimits(16 * 1024, OPS)
-GANG_JOB = spec(kind="group", tasks=TASKS)
+GANG_JOB = job_spec(kind="group", tasks=TASKS)
 
 
 class GangMachine(RuleBasedStateMachine):
@@ -176,7 +176,7 @@
 
 
 def gang(**changes):
-    return Job(new_record(spec(**{"kind": "group", "tasks": 4, **changes}), 0, 8), 1)
+    return Job(new_record(job_spec(**{"kind": "group", "tasks": 4, **changes}), 0, 8), 1)
 
 
 rooms = st.lists(
@@ -221,7 +221,7 @@
 
 
 def test_room_is_made_for_a_whole_gang_or_nobody_is_stopped():
-    idle = Job(new_record(spec("j-000009", priority="idle", cpus=2.0), 0, 8), 1)
+    idle = Job(new_record(job_spec("j-000009", priority="idle", cpus=2.0), 0, 8), 1)
     running = {
         m: [Victim(idle, Attempt(i, 1, m, 1, 1)) for i in (2 * n, 2 * n + 1)]
         for n, m in enumerate(("vm-1", "vm-2"))
@@ -262,11 +262,11 @@
 
 
 def test_which_groups_can_never_run():
-    types = (shape("small"), shape("big", cpus=16.0, zones=("b",)))
+    types = (machine_type("small"), machine_type("big", cpus=16.0, zones=("b",)))
     teams = {"red": Team("red", cpus_max=8.0)}
 
     def never(**changes):
-        return rejection_reason(spec(**{"kind": "group", **changes}), types, teams)
+        return rejection_reason(job_spec(**{"kind": "group", **changes}), types, teams)
 
     assert never(tasks=8) is None and never(tasks=9)
     assert never(tasks=1, cpus=9.0) and never(zone="c") and never(types=("none",))
@@ -281,7 +281,7 @@
     """An owner with a gang, two records of two tasks and what they need around them."""
     _, mirror, registry, inventory, clock, settings = made(tmp_path, 4)
     mirror.ops = OPS
-    job = spec(kind="group", tasks=tasks)
+    job = job_spec(kind="group", tasks=tasks)
     key = records.job_key(job.id)
     mirror.commit(Change({key: 0}, {key: Raw(records.encode(new_record(job, 5, CHUNK)))}))
     leadership = SimpleNamespace(owns=lambda team: True, gangs_allowed=lambda: True)
@@ -347,7 +347,7 @@
             f"vm-{i}", "small", "a", True, "up", 0, 0, session=1
         )
     submit(mirror, kind="group", tasks=2, checkpoint_interval_s=20.0, checkpoint_duration_s=3.0)
-    draft = Draft(registry.jobs["j-000001"], LIMITS)
+    draft = Draft(registry.jobs["j-000001"], RECORD_LIMITS)
     draft.place_gang([Assignment(0, "vm-0", 1), Assignment(1, "vm-1", 1)], 1)
     mirror.commit(draft.to_change({}))
     stopping = StopRegistry(settings, inventory, registry, lambda *_: None, lambda _: False, clock)
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -16,8 +16,8 @@
 from mosswalk.store.mirror import Mirror
 from mosswalk.wire import state as wire
 from mosswalk.wire.peers import PeerStatus
-from tests.standins import FakeClient, FakeClock, Store
-from tests.test_config import write
+from tests.fakes import FakeClock, FakeStateClient, InMemoryStore
+from tests.test_config import write_settings
 
 
 class Others:
@@ -63,10 +63,12 @@
     """Back within a fraction of a second, and then the old run's request is carried out."""
 
     async def run():
-        store, clock = Store(), FakeClock()
-        client = FakeClient(store)
+        store, clock = InMemoryStore(), FakeClock()
+        client = FakeStateClient(store)
         mirror = Mirror(client, clock, random.Random(1))
-        leadership = Leadership(load(write(tmp_path)), client, mirror, clock, random.Random(2))
+        leadership = Leadership(
+            load(write_settings(tmp_path)), client, mirror, clock, random.Random(2)
+        )
         key = records.NODE_PREFIX + leadership.node
         lease, old = store.grant(), store.grant()
         leadership.lease = lease
@@ -80,10 +82,10 @@
         await mirror._follow()
         assert leadership.present[leadership.node].run == leadership.run_id
         # Nothing is written when all is well.
-        commits = client.commits
+        commits = client.commit_count
         for _ in range(5):
             await leadership._restore_presence()
-        assert client.commits == commits
+        assert client.commit_count == commits
 
     asyncio.run(run())
 
--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -12,7 +12,7 @@
 from mosswalk.store import records
 from mosswalk.store.records import RecordLimits
 from mosswalk.store.writer import Change
-from tests.standins import LIMITS, shape, spec
+from tests.fakes import RECORD_LIMITS, job_spec, machine_type
 
 TASKS = 30
 OPS = 5
@@ -51,7 +51,7 @@
         super().__init__()
         self.mirror = MirrorOf()
         self.registry = JobRegistry(self.mirror)
-        record = new_record(spec(tasks=TASKS), 5, chunk=7)
+        record = new_record(job_spec(tasks=TASKS), 5, chunk=7)
         self.key = records.job_key("j-000001")
         self.mirror.commit(Change({self.key: 0}, {self.key: Raw(records.encode(record))}))
         self.live = {}
@@ -154,9 +154,9 @@
 
 
 def test_a_job_of_100000_tasks_fits_its_records():
-    size = records.chunk_size(LIMITS, spec(tasks=100_000))
-    job = Job(new_record(spec(tasks=100_000), 1 << 52, size), 1)
-    draft = Draft(job, LIMITS)
+    size = records.chunk_size(RECORD_LIMITS, job_spec(tasks=100_000))
+    job = Job(new_record(job_spec(tasks=100_000), 1 << 52, size), 1)
+    draft = Draft(job, RECORD_LIMITS)
     placed = [draft.place(Assignment(i, "vm-00123456", 100), 1 << 40) for i in range(15 * size)]
     change = draft.to_change({})
     assert change.write_count() <= 16
@@ -165,8 +165,8 @@
 
 
 def test_a_replica_that_ends_is_started_again():
-    job = Job(new_record(spec(kind="daemon", tasks=1), 0, 8), 1)
-    draft = Draft(job, LIMITS)
+    job = Job(new_record(job_spec(kind="daemon", tasks=1), 0, 8), 1)
+    draft = Draft(job, RECORD_LIMITS)
     attempt = draft.place(Assignment(0, "vm-1", 1), 1)
     draft.record_outcome(0, attempt.number, "done")
     assert draft.final_record() is None and draft.record.done_count == 0
@@ -174,11 +174,11 @@
 
 
 def test_what_can_never_run_is_told_from_what_can():
-    types = (shape("small"), shape("big", cpus=16.0, zones=("b",)))
+    types = (machine_type("small"), machine_type("big", cpus=16.0, zones=("b",)))
     teams = {"red": Team("red", cpus_max=8.0)}
 
     def judge(**changes):
-        return rejection_reason(spec(**changes), types, teams)
+        return rejection_reason(job_spec(**changes), types, teams)
 
     assert judge() is None and judge(tasks=100_000) is None
     assert judge(team="blue") and judge(cpus=9.0) and judge(gpus=1.0) and judge(zone="c")
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -19,8 +19,8 @@
 from mosswalk.store.records import RecordLimits
 from mosswalk.store.throttle import Throttle
 from mosswalk.store.writer import Change, GroupWriter
+from tests.fakes import RECORD_LIMITS, FakeClock, InMemoryStore, job_spec
 from tests.production import records as production
-from tests.standins import LIMITS, FakeClock, Store, spec
 from tests.test_jobs import MirrorOf
 
 S = 1_000_000
@@ -33,7 +33,7 @@
     assert (lowest.rps, lowest.write_rps, lowest.value_kb, lowest.txn_ops) == (200.0, 28.0, 2.0, 16)
     raised = StateLimits(200.0, 40.0, 2.0, 5, NextStateLimits(value_kb=32.0, txn_ops=16))
     assert record_limits(raised.lowest()) == LOWERED
-    assert record_limits(StateLimits(1.0, 1.0, 16.0, 16).lowest()) == LIMITS
+    assert record_limits(StateLimits(1.0, 1.0, 16.0, 16).lowest()) == RECORD_LIMITS
 
 
 @given(st.integers(1, 700), st.data())
@@ -41,15 +41,15 @@
     """Written for 256 tasks a record; split between any two of its commits, or left half split."""
     mirror = MirrorOf()
     registry = JobRegistry(mirror)
-    record = new_record(spec(tasks=tasks), 1 << 50, 256)
+    record = new_record(job_spec(tasks=tasks), 1 << 50, 256)
     key = records.job_key("j-000001")
     mirror.commit(Change({key: 0}, {key: Raw(records.encode(record))}))
-    draft = Draft(registry.jobs["j-000001"], LIMITS)
+    draft = Draft(registry.jobs["j-000001"], RECORD_LIMITS)
     for index in range(tasks):
         draft.place(Assignment(index, f"vm-{index // 8:06d}", 1), 12)
     mirror.ops = 16
     mirror.commit(draft.to_change({}))
-    draft = Draft(registry.jobs["j-000001"], LIMITS)
+    draft = Draft(registry.jobs["j-000001"], RECORD_LIMITS)
     for index in sorted(data.draw(st.sets(st.integers(0, tasks - 1), max_size=60))):
         draft.record_outcome(index, index + 1, data.draw(st.sampled_from(["done", "lost"])))
     if draft.final_record() is None:
@@ -76,7 +76,7 @@
         mirror.ops = 16
         ended = data.draw(st.booleans())
         if ended:
-            draft = Draft(job, LIMITS)
+            draft = Draft(job, RECORD_LIMITS)
             for attempt in sorted(job.live_attempts(), key=lambda a: -a.task)[: tasks // 2]:
                 draft.record_outcome(attempt.task, attempt.number, "lost")
             mirror.commit(draft.to_change({}))
@@ -122,7 +122,7 @@
 
 
 def test_a_record_never_outgrows_the_limit_however_long_machines_are_named():
-    job = Job(new_record(spec(tasks=29), 1 << 52, 29), 1)
+    job = Job(new_record(job_spec(tasks=29), 1 << 52, 29), 1)
     draft = Draft(job, LOWERED)
     for index in range(29):
         draft.place(Assignment(index, "machine-" + "x" * 60 + str(index), 10**6), 10**6)
@@ -134,7 +134,7 @@
     """A state client whose limits may be lowered, and that may lose answers."""
 
     def __init__(self) -> None:
-        self.store = Store()
+        self.store = InMemoryStore()
         self.value_bytes = 1000
         self.lose = 0
         self.commits = 0
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -4,12 +4,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.fault_injection import FAULTS, Fault, play_day
+from tests.fault_injection import FAULTS, Fault, run_scenario
 
 T = Fault
 
 # Each with its troubles, its number of jobs (14 fit the machines there are, 30 do not), its seed.
-MEETINGS = {
+FAULT_COMBINATIONS = {
     "all controllers away for longer than a lease": ([T(30, "crash_all", 20)], 14, 6),
     "no worker reaches a controller, orders reach them": ([T(30, "all_mute", 25)], 14, 16),
     "a team at its limit, a new leader, machines that can't be asked, a cancellation": (
@@ -22,7 +22,7 @@
         [T(30, "deaf", 40), T(33, "crash", 4), T(35, "cancel")], 14, 2,
     ),
     "one-zone jobs lose machines": (
-        [T(25, "die"), T(30, "die", pick=1), T(33, "hang", 25), T(40, "die")], 20, 18,
+        [T(25, "die"), T(30, "die", selector=1), T(33, "hang", 25), T(40, "die")], 20, 18,
     ),
     "commands are held up and the machine goes on": (
         [T(10, "hang", 3), T(14, "hang", 6, 1), T(21, "machines_cut", 5), T(27, "hang", 4),
@@ -85,13 +85,13 @@
 }  # fmt: skip
 
 
-@pytest.mark.parametrize("meeting", MEETINGS)
+@pytest.mark.parametrize("meeting", FAULT_COMBINATIONS)
 def test_no_rule_breaks_where(meeting):
-    troubles, jobs, seed = MEETINGS[meeting]
-    region = play_day(seed, troubles, jobs)
-    assert region.broken == []
+    troubles, jobs, seed = FAULT_COMBINATIONS[meeting]
+    region = run_scenario(seed, troubles, jobs)
+    assert region.violations == []
     assert region.counts["started"] > 20
-    assert region.asked_to_cancel or not any("cancel" in t.kind for t in troubles)
+    assert region.withdrawal_requested or not any("cancel" in t.kind for t in troubles)
 
 
 # What takes the state service from a controller; others may meet it.
@@ -101,7 +101,7 @@
 
 
 @st.composite
-def meetings(draw):
+def fault_combinations(draw):
     """A controller loses the state service, all do, and users cancel, in any order; and more.
 
     Where rules were seen to break, these came within seconds of each other.
@@ -122,6 +122,6 @@
 
 
 @settings(max_examples=50)
-@given(st.integers(0, 10**6), meetings())
+@given(st.integers(0, 10**6), fault_combinations())
 def test_no_rule_breaks_whatever_troubles_meet(seed, troubles):
-    assert play_day(seed, troubles, jobs=10).broken == []
+    assert run_scenario(seed, troubles, job_count=10).violations == []
--- a/tests/test_offers.py
+++ b/tests/test_offers.py
@@ -20,8 +20,8 @@
 from mosswalk.store.writer import Change
 from mosswalk.wire.peers import Outcome
 from mosswalk.wire.workers import TaskReport
-from tests.standins import LIMITS, FakeClock, shape, spec
-from tests.test_config import write
+from tests.fakes import RECORD_LIMITS, FakeClock, job_spec, machine_type
+from tests.test_config import write_settings
 from tests.test_jobs import MirrorOf
 from tests.test_placement import job as placed
 
@@ -37,13 +37,13 @@
 
 
 def made(tmp_path, machines):
-    settings = load(write(tmp_path))
+    settings = load(write_settings(tmp_path))
     settings = structs.replace(
         settings, params=structs.replace(settings.params, teams=(Team("red"),))
     )
     mirror, inventory, clock = MirrorOf(), Inventory(), FakeClock()
     registry = JobRegistry(mirror)
-    inventory.types = {"small": shape()}
+    inventory.types = {"small": machine_type()}
     for i in range(machines):
         name = f"vm-{i:04d}"
         inventory.machines[name] = Machine(
@@ -70,14 +70,14 @@
 
 
 def submit(mirror, placed=(), **changes):
-    record = new_record(spec(**changes), 5, 256)
+    record = new_record(job_spec(**changes), 5, 256)
     key = records.job_key(record.spec.id)
     mirror.commit(Change({key: 0}, {key: Raw(records.encode(record))}))
     return key
 
 
 def place(mirror, registry, count, machine):
-    draft = Draft(next(iter(registry.jobs.values())), LIMITS)
+    draft = Draft(next(iter(registry.jobs.values())), RECORD_LIMITS)
     for index in range(count):
         draft.place(Assignment(index, machine, 1), 1)
     mirror.commit(draft.to_change({}))
@@ -169,7 +169,7 @@
     for i in range(40):
         priority = "prod" if i % 10 == 9 else "idle" if i % 2 else "standard"
         submit(mirror, id=f"j-{i:06d}", tasks=2, priority=priority)
-        draft = Draft(registry.jobs[f"j-{i:06d}"], LIMITS)
+        draft = Draft(registry.jobs[f"j-{i:06d}"], RECORD_LIMITS)
         draft.place(Assignment(0, "vm-0000", 1), 1)
         mirror.commit(draft.to_change({}))
     leadership = SimpleNamespace(owns=lambda team: True, gangs_allowed=lambda: False)
@@ -191,7 +191,7 @@
     owner._apply_outcomes(drafts)
     assert len(drafts) == owner._max_outcome_jobs
     for job_id in prod:
-        draft = Draft(registry.jobs[job_id], LIMITS)
+        draft = Draft(registry.jobs[job_id], RECORD_LIMITS)
         assert draft.place(Assignment(0, "vm-0000", 1), 1) and draft.place(
             Assignment(1, "vm-0000", 1), 1
         )
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -7,12 +7,12 @@
 from mosswalk.placement.capacity import FreeCapacity, capacity_to_claim, zone_rule
 from mosswalk.placement.preemption import Victim, choose_victims, should_checkpoint
 from mosswalk.placement.queues import QueueOrder, TeamQueue, Usage, is_protected, place_across_teams
-from tests.standins import LIMITS, spec
+from tests.fakes import RECORD_LIMITS, job_spec
 
 
 def job(job_id="j-1", at_us=0, live=(), **changes):
-    made = Job(new_record(spec(job_id, **changes), at_us, 256), 1)
-    draft = Draft(made, LIMITS)
+    made = Job(new_record(job_spec(job_id, **changes), at_us, 256), 1)
+    draft = Draft(made, RECORD_LIMITS)
     for index, machine in enumerate(live):
         draft.place(Assignment(index, machine, 1), 1)
     record = draft.record
@@ -304,6 +304,6 @@
 
 
 def test_a_stopped_task_saves_only_if_that_is_quicker_than_doing_the_work_again():
-    assert should_checkpoint(spec(checkpoint_interval_s=20.0, checkpoint_duration_s=3.0))
-    assert not should_checkpoint(spec(checkpoint_interval_s=15.0, checkpoint_duration_s=6.0))
-    assert not should_checkpoint(spec(checkpoint_interval_s=0.0, checkpoint_duration_s=0.0))
+    assert should_checkpoint(job_spec(checkpoint_interval_s=20.0, checkpoint_duration_s=3.0))
+    assert not should_checkpoint(job_spec(checkpoint_interval_s=15.0, checkpoint_duration_s=6.0))
+    assert not should_checkpoint(job_spec(checkpoint_interval_s=0.0, checkpoint_duration_s=0.0))
--- a/tests/test_recent_workers.py
+++ b/tests/test_recent_workers.py
@@ -2,7 +2,7 @@
 from hypothesis import strategies as st
 
 from mosswalk.fleet.recent_workers import RecentWorkers, leader_unreachable_for_workers
-from tests.standins import FakeClock
+from tests.fakes import FakeClock
 
 S = 1_000_000
 
--- a/tests/test_renting.py
+++ b/tests/test_renting.py
@@ -3,8 +3,8 @@
 from mosswalk.config import Team, load
 from mosswalk.fleet.inventory import Inventory
 from mosswalk.fleet.renting import FleetScaler
-from tests.standins import FakeClock, shape
-from tests.test_config import write
+from tests.fakes import FakeClock, machine_type
+from tests.test_config import write_settings
 from tests.test_offers import made, submit
 from tests.test_placement import job
 
@@ -13,8 +13,8 @@
 
 def test_patience_for_steady_machines_ends_in_time_for_their_boot(tmp_path):
     clock, inventory = FakeClock(), Inventory()
-    inventory.types = {"small": shape(boot_s=15.0)}
-    renting = FleetScaler(load(write(tmp_path)), inventory, None, clock)
+    inventory.types = {"small": machine_type(boot_s=15.0)}
+    renting = FleetScaler(load(write_settings(tmp_path)), inventory, None, clock)
     begun_us = clock.us
 
     def patient(after_s, guaranteed=False, **changes):
--- a/tests/test_report_evaluation.py
+++ b/tests/test_report_evaluation.py
@@ -9,7 +9,7 @@
 from mosswalk.jobs.state import Job, new_record
 from mosswalk.store.records import Attempt
 from mosswalk.wire.workers import Report, TaskReport
-from tests.standins import spec
+from tests.fakes import job_spec
 
 KEY = ("j-1", 0, 4)
 ATTEMPT = {KEY: Attempt(0, 4, "vm-1", 2, 7)}
@@ -151,4 +151,4 @@
 
 
 def open_job(job_id):
-    return Job(new_record(spec(job_id), 0, 8), 1)
+    return Job(new_record(job_spec(job_id), 0, 8), 1)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -26,8 +26,8 @@
 from mosswalk.store.writer import Change
 from mosswalk.wire.peers import MachineOffer, Offer, Outcome, TeamOffer
 from mosswalk.wire.workers import Report, TaskReport
-from tests.standins import LIMITS, FakeClock, shape
-from tests.test_config import write
+from tests.fakes import RECORD_LIMITS, FakeClock, machine_type
+from tests.test_config import write_settings
 from tests.test_jobs import MirrorOf
 from tests.test_offers import place, submit
 from tests.test_placement import job as queued
@@ -63,7 +63,7 @@
 
 @pytest.fixture
 def led(tmp_path):
-    settings = load(write(tmp_path))
+    settings = load(write_settings(tmp_path))
     settings = structs.replace(
         settings, params=structs.replace(settings.params, teams=(Team("red"),))
     )
@@ -75,7 +75,7 @@
     manager = FleetManager(settings, mirror, registry, None, leadership, owner, None, None, clock)
     manager._leading, manager._report_intake._first_term = True, 3
     manager._plan_scheduled = False
-    manager.inventory.types = {"small": shape()}
+    manager.inventory.types = {"small": machine_type()}
     for i in range(MACHINES):
         name = f"vm-{i:06d}"
         manager.inventory.machines[name] = Machine(
@@ -214,7 +214,7 @@
 
 def test_a_leader_that_begins_while_the_cloud_is_down_uses_the_room_there_is_but_rents_none(led):
     manager = led.manager
-    shapes = Raw(records.encode([shape(price=0.0, spot_price=0.0)]))
+    shapes = Raw(records.encode([machine_type(price=0.0, spot_price=0.0)]))
     led.mirror.commit(Change({}, {records.MACHINE_TYPES_KEY: shapes}))
     manager.inventory.types = {}
     manager._list_received = manager._is_first_leader = True
@@ -222,7 +222,7 @@
     manager._offers.mark_periodic_changes()
     assert len(manager._offers.free_capacities()) == MACHINES
     assert not manager._ready_to_rent()
-    manager._on_types((shape(),))
+    manager._on_types((machine_type(),))
     assert manager._ready_to_rent()
 
 
@@ -279,7 +279,7 @@
     assert [len(message.outcomes) for message in told] == [200]
     submit(led.mirror, id="j-000002", tasks=1)
     job = led.registry.jobs["j-000002"]
-    draft = Draft(job, LIMITS)
+    draft = Draft(job, RECORD_LIMITS)
     draft.place(Assignment(0, "vm-000001", 1), 1)
     led.mirror.commit(draft.to_change({}))
     looks = []
@@ -299,7 +299,7 @@
 
 def test_what_the_records_show_is_told_no_more(led):
     sender, told = outcome_sender(led, tasks=3)
-    draft = Draft(led.registry.jobs["j-000001"], LIMITS)
+    draft = Draft(led.registry.jobs["j-000001"], RECORD_LIMITS)
     draft.record_outcome(0, 1, "done")
     led.mirror.commit(draft.to_change({}))
     led.clock.us += S
@@ -356,7 +356,7 @@
         MachineView(f"vm-{i}", pool, "up", 0, 0, True, None, 1.0) for i in range(LARGE_FLEET - 1)
     ]
     factory = Factory(FactoryTuning(high_dwell_s=0.0))
-    types = {"small": shape(zones=("a",))}
+    types = {"small": machine_type(zones=("a",))}
     decided = factory.decide(FleetView(0, types, machines, [waiting], 9))
     assert any(isinstance(d, Rent) and pool in d.pools for d in decided)
 
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -8,7 +8,7 @@
 from mosswalk.config.sockets import socket_budget
 from mosswalk.fleet.command_sender import CommandSender
 from mosswalk.fleet.inventory import Inventory, Machine
-from tests.standins import FakeClock
+from tests.fakes import FakeClock
 
 
 @given(st.integers(200, 5000))
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -14,7 +14,7 @@
 from mosswalk.store.mirror import Mirror
 from mosswalk.store.writer import Change, GroupWriter
 from mosswalk.wire import state as wire
-from tests.standins import FakeClient, FakeClock, Store
+from tests.fakes import FakeClock, FakeStateClient, InMemoryStore
 
 
 async def with_writer(client, work):
@@ -31,8 +31,8 @@
 
 
 def test_changes_are_grouped_and_a_conflict_hurts_only_its_own_change():
-    store = Store()
-    client = FakeClient(store)
+    store = InMemoryStore()
+    client = FakeStateClient(store)
 
     async def work(writer):
         changes = [put(f"m/{i}", 0) for i in range(3)] + [put("m/9", 5)]
@@ -41,14 +41,14 @@
     results = asyncio.run(with_writer(client, work))
     assert isinstance(results[3], ConflictError)
     assert sorted(store.rows) == ["m/0", "m/1", "m/2"]
-    assert client.commits == 2
+    assert client.commit_count == 2
 
 
 @given(st.lists(st.sampled_from(["lost", "late", "blind", "refused"]), max_size=2))
 def test_however_a_commit_fares_it_is_applied_once_and_its_fate_is_known(plan):
-    store = Store()
-    client = FakeClient(store)
-    client.plan.extend(plan)
+    store = InMemoryStore()
+    client = FakeStateClient(store)
+    client.planned_results.extend(plan)
 
     async def work(writer):
         try:
@@ -59,27 +59,27 @@
     revision = asyncio.run(with_writer(client, work))
     assert store.rows["m/a"][1] == 1
     assert revision == 1 or (revision is None and "blind" in plan)
-    client.deliver()
+    client.commit_delayed()
     assert store.rows["m/a"][1] == 1 and store.revision == 1
 
 
 def test_a_late_copy_is_harmless_after_the_owner_went_on():
-    store = Store()
-    client = FakeClient(store)
-    client.plan.append("late")
+    store = InMemoryStore()
+    client = FakeStateClient(store)
+    client.planned_results.append("late")
 
     async def work(writer):
         first = await writer.commit(put("m/a", 0, "1"))
         return await writer.commit(put("m/a", first, "2"))
 
     asyncio.run(with_writer(client, work))
-    client.deliver()
+    client.commit_delayed()
     assert store.rows["m/a"][0] == b"2"
 
 
 def test_an_impatient_change_is_turned_down_at_once():
-    client = FakeClient(Store())
-    client.plan.extend(["refused"] * 50)
+    client = FakeStateClient(InMemoryStore())
+    client.planned_results.extend(["refused"] * 50)
 
     async def work(writer):
         return await writer.commit(put("m/a", 0, fail_fast=True))
@@ -87,7 +87,7 @@
     try:
         asyncio.run(with_writer(client, work))
     except RefusedError:
-        assert client.commits == 1
+        assert client.commit_count == 1
     else:
         raise AssertionError("it was held back")
 
@@ -104,8 +104,8 @@
 @given(steps)
 def test_the_mirror_never_goes_back_and_ends_as_the_store(moves):
     """Own commits told late, and reads that are overtaken, must not bring old values back."""
-    store = Store()
-    client = FakeClient(store)
+    store = InMemoryStore()
+    client = FakeStateClient(store)
     mirror = Mirror(client, FakeClock(), random.Random(1))
     seen = {}
     mirror.listen("m/", lambda k, v, version: seen.setdefault(k, []).append(version))
@@ -162,12 +162,12 @@
 def test_a_commit_that_fails_unexpectedly_ends_the_writer():
     """Left waiting, its owner would never place again; taken as failed, quota could break."""
 
-    class Broken(FakeClient):
+    class Broken(FakeStateClient):
         async def commit(self, transaction, timeout_s=0):
             raise KeyError("unexpected")
 
     async def run():
-        writer = GroupWriter(Broken(Store()), SystemClock(), random.Random(1), 1e6, 4)
+        writer = GroupWriter(Broken(InMemoryStore()), SystemClock(), random.Random(1), 1e6, 4)
         waiting = asyncio.create_task(writer.commit(put("m/a", 0)))
         try:
             async with asyncio.timeout(5):
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -18,8 +18,8 @@
 
 from mosswalk.config import StateLimits
 from mosswalk.store import records
+from tests.fakes import job_spec
 from tests.loopback import LoopbackCluster, settings_toml
-from tests.standins import spec
 from tests.test_cluster import Users, until
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -112,11 +112,11 @@
         world.task_s = 1.0
         for name in names:
             processes.start(name)
-        service = spec("j-000001", kind="daemon", tasks=3, spot=False)
+        service = job_spec("j-000001", kind="daemon", tasks=3, spot=False)
         await submitted(users, service, names[0])
-        await submitted(users, spec("j-000002", tasks=300, cpus=0.25, memory_gb=0.1), names[1])
+        await submitted(users, job_spec("j-000002", tasks=300, cpus=0.25, memory_gb=0.1), names[1])
         await until(lambda: sum(t.startswith("j-000001") for t in world.on) == 3, 20.0)
-        gang = spec("j-000009", kind="group", tasks=4, spot=False)
+        gang = job_spec("j-000009", kind="group", tasks=4, spot=False)
         for i, name in enumerate(names):
             where = {t: m for t, m in world.on.items() if t.startswith("j-000001")}
             assert len(where) == 3
@@ -124,7 +124,7 @@
             await world.start_controller(name)
             await users.eventually("GET", "/healthz", lambda s, b: s == 200, 20.0, node=name)
             # Each takes jobs that all of them run, whoever leads and owns by now.
-            job = spec(f"j-00001{i}", tasks=40, cpus=0.5, memory_gb=0.1)
+            job = job_spec(f"j-00001{i}", tasks=40, cpus=0.5, memory_gb=0.1)
             await submitted(users, job, names[i])
             await users.eventually(
                 "GET",
@@ -157,7 +157,7 @@
             return records.decode_term(row[0]) if row is not None else None
 
         await until(lambda: term() is not None and term().version > 1)
-        await submitted(users, spec("j-000001", kind="group", tasks=2, spot=False), names[0])
+        await submitted(users, job_spec("j-000001", kind="group", tasks=2, spot=False), names[0])
         await world.kill_controller(names[2])
         processes.start(names[2])
 
@@ -174,7 +174,7 @@
         before = term()
         for name in names[:2]:
             await world.kill_controller(name)
-        await submitted(users, spec("j-000002", tasks=2), names[2])
+        await submitted(users, job_spec("j-000002", tasks=2), names[2])
         await asyncio.sleep(4.0)
         assert term() == before
         await world.start_controller(names[0])
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -15,8 +15,8 @@
 from mosswalk.store.records import CURRENT_VERSION, GANG_VERSION, Presence, TermRecord
 from mosswalk.wire import peers
 from mosswalk.wire import state as wire
+from tests.fakes import RECORD_LIMITS, job_spec
 from tests.production import records as production
-from tests.standins import LIMITS, spec
 from tests.test_wire import jobs
 
 # As the version before gangs wrote them; each must be read, and written again, byte for byte.
@@ -62,7 +62,7 @@
 
 @given(jobs.filter(lambda job: job.kind != "group"), st.integers(1, 300), st.booleans())
 def test_a_job_goes_through_the_hands_of_both_versions_unchanged(job, chunk, withdrawn):
-    draft = Draft(Job(new_record(job, 5, chunk), 1), LIMITS)
+    draft = Draft(Job(new_record(job, 5, chunk), 1), RECORD_LIMITS)
     draft.place(Assignment(0, "vm-000001", 1), 3)
     change = draft.to_change({})
     if withdrawn:
@@ -119,13 +119,13 @@
 
 def test_groups_wait_for_the_upgrade_and_are_told_so_at_once():
     from tests.simulation import Simulation
-    from tests.virtual import play
+    from tests.virtual_time import run_in_virtual_time
 
     async def day() -> None:
         region = Simulation(1)
         region.start()
         await asyncio.sleep(4.0)
-        gang = spec("j-000001", kind="group", tasks=2)
+        gang = job_spec("j-000001", kind="group", tasks=2)
         controller = next(iter(region.controllers.values()))[0]
         assert controller.leadership.gangs_allowed()
         controller.job_service.gangs_allowed = lambda: False
@@ -137,13 +137,13 @@
         region.state.store.rows[key] = (bytes(value), 1, None)
         assert (await controller.job_service.submit(msgspec.json.encode(gang))).status == 200
 
-    play(day())
+    run_in_virtual_time(day())
 
 
 def test_a_controller_that_shows_the_old_version_holds_the_upgrade_back():
     """One of three is old for a while; after it, the record stays through restarts of all."""
     from tests.simulation import Simulation
-    from tests.virtual import play
+    from tests.virtual_time import run_in_virtual_time
 
     async def day() -> None:
         region = Simulation(2)
@@ -157,24 +157,26 @@
         await asyncio.sleep(20.0)
         term = records.decode_term(region.state.store.rows[records.TERM_KEY][0])
         assert term.version == 1 and "moss-2" in term.runs
-        gang = msgspec.json.encode(spec("j-000001", kind="group", tasks=2))
-        for name in region.names[:2]:
-            status, _ = await region.ask("POST", "/api/jobs", gang, name)
+        gang = msgspec.json.encode(job_spec("j-000001", kind="group", tasks=2))
+        for name in region.controller_names[:2]:
+            status, _ = await region.send_user_request("POST", "/api/jobs", gang, name)
             assert status == 503
-        region.start_controller(region.names[2])
-        await region.until(lambda: version(region) == GANG_VERSION, 30.0)
+        region.start_controller(region.controller_names[2])
+        await region.wait_until(lambda: version(region) == GANG_VERSION, 30.0)
         assert version(region) == GANG_VERSION
         await asyncio.sleep(1.0)
-        status, _ = await region.ask("POST", "/api/jobs", gang, region.names[1])
+        status, _ = await region.send_user_request(
+            "POST", "/api/jobs", gang, region.controller_names[1]
+        )
         assert status == 201
-        for name in region.names:
+        for name in region.controller_names:
             region.kill_controller(name)
         await asyncio.sleep(20.0)
-        region.start_controller(region.names[0])
-        await region.until(lambda: region.leader(), 20.0)
-        assert region.leader() == region.names[0] and version(region) == GANG_VERSION
+        region.start_controller(region.controller_names[0])
+        await region.wait_until(lambda: region.leader(), 20.0)
+        assert region.leader() == region.controller_names[0] and version(region) == GANG_VERSION
 
     def version(region: Simulation) -> int:
         return records.decode_term(region.state.store.rows[records.TERM_KEY][0]).version
 
-    play(day())
+    run_in_virtual_time(day())
--- a/tests/test_withdrawing.py
+++ b/tests/test_withdrawing.py
@@ -12,11 +12,11 @@
 from mosswalk.store.client import ConflictError
 from mosswalk.store.records import Attempt, TaskChunk
 from mosswalk.wire.peers import Withdrawal, Withdrawals
-from tests.fault_injection import Fault, play_day
+from tests.fakes import FakeClock, job_spec
+from tests.fault_injection import Fault, run_scenario
 from tests.simulated_services import LEASE_S
 from tests.simulation import CANCEL_S, Simulation
-from tests.standins import FakeClock, spec
-from tests.virtual import play
+from tests.virtual_time import run_in_virtual_time
 
 S = 1_000_000
 
@@ -29,22 +29,22 @@
         region = Simulation(5)
         region.start()
         await asyncio.sleep(4)
-        await region.submit(spec(tasks=6), 300.0)
-        await region.until(lambda: len(region.on) == 6)
+        await region.submit(job_spec(tasks=6), 300.0)
+        await region.wait_until(lambda: len(region.running_on) == 6)
         leader = region.leader()
         if not tell:
             for controller, _ in region.controllers.values():
                 controller.job_service.on_withdrawn = lambda _: None
-        region.state.refused.add(leader)
-        other = next(n for n in region.names if n != leader)
+        region.state.refused_senders.add(leader)
+        other = next(n for n in region.controller_names if n != leader)
         await region.withdraw("j-000001", other)
         region.state.begin_outage()
-        told = region.told["j-000001"][1]
-        await region.until(lambda: not region.on)
+        told = region.reported_phases["j-000001"][1]
+        await region.wait_until(lambda: not region.running_on)
         left_s.append(region.now() - told)
-        assert region.broken == []
+        assert region.violations == []
 
-    play(run())
+    run_in_virtual_time(run())
     return left_s[0]
 
 
@@ -57,8 +57,8 @@
 @pytest.mark.parametrize("seed", range(3))
 def test_a_machine_that_hangs_with_withdrawn_tasks_is_released_whoever_leads(seed):
     troubles = [Fault(40, "cancel_and_hang", 70, seed), Fault(41, "leaders_change", 60)]
-    region = play_day(seed, troubles)
-    assert region.broken == [] and region.counts["withdrawn"]
+    region = run_scenario(seed, troubles)
+    assert region.violations == [] and region.counts["withdrawn"]
 
 
 def test_news_is_told_until_acknowledged_but_no_longer_than_it_is_of_use():
@@ -85,7 +85,7 @@
         assert told == [["j-000001"]] * 2 + [["j-000002"]]
         work.cancel()
 
-    play(run())
+    run_in_virtual_time(run())
 
 
 def test_late_news_of_a_job_that_is_over_does_not_bring_it_back():
@@ -93,8 +93,8 @@
         region = Simulation(3)
         region.start()
         await asyncio.sleep(4)
-        await region.submit(spec(tasks=2), 300.0)
-        await region.until(lambda: region.on)
+        await region.submit(job_spec(tasks=2), 300.0)
+        await region.wait_until(lambda: region.running_on)
         told = []
         for controller, _ in region.controllers.values():
             controller.job_service.on_withdrawn = told.append
@@ -105,7 +105,7 @@
         controller.apply_peer_withdrawals(Withdrawals(tuple(told)))
         assert len(told) == 1 and "j-000001" not in controller.registry.jobs
 
-    play(run())
+    run_in_virtual_time(run())
 
 
 def test_orphans_are_removed_only_where_the_state_service_knows_no_job():
@@ -145,7 +145,7 @@
         await upkeep.remove_orphaned_chunks()
         assert deleted == [kept, gone]
 
-    play(run())
+    run_in_virtual_time(run())
 
 
 def test_a_start_without_an_answer_is_not_sent_twice():
@@ -155,8 +155,8 @@
         region = Simulation(2)
         region.start()
         await asyncio.sleep(4)
-        await region.submit(spec(tasks=1), 300.0)
-        await region.until(lambda: region.on)
+        await region.submit(job_spec(tasks=1), 300.0)
+        await region.wait_until(lambda: region.running_on)
         controller = region.controllers[region.leader()][0]
         (machine,) = (m for m in controller.manager.inventory.machines.values() if m.tasks)
         assert isinstance(machine, Machine)
@@ -179,4 +179,4 @@
         await asyncio.sleep(0.1)
         assert len(sent) == 1
 
-    play(run())
+    run_in_virtual_time(run())
--- a/tests/virtual.py
+++ b/tests/virtual_time.py
@@ -16,10 +16,10 @@
 
 import aiohttp
 
-Serve = Callable[[str, str, bytes, str], Awaitable[tuple[int, bytes]]]
+RequestHandler = Callable[[str, str, bytes, str], Awaitable[tuple[int, bytes]]]
 
 # Which process what runs belongs to, so that one alone can stand still.
-PROCESS: contextvars.ContextVar[str] = contextvars.ContextVar("PROCESS", default="")
+CURRENT_PROCESS: contextvars.ContextVar[str] = contextvars.ContextVar("PROCESS", default="")
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
@@ -39,14 +39,14 @@
         selector.loop = self
         self.now = 0.0
         # What processes that stand still would have run.
-        self.frozen: dict[str, list[tuple[list, Callable[..., Any], tuple]]] = {}
+        self.frozen_callbacks: dict[str, list[tuple[list, Callable[..., Any], tuple]]] = {}
         super().__init__(selector)
 
     def time(self) -> float:
         return self.now
 
     def _unless_frozen(self, handles: list, callback: Callable[..., Any], args: tuple) -> None:
-        waiting = self.frozen.get(PROCESS.get())
+        waiting = self.frozen_callbacks.get(CURRENT_PROCESS.get())
         if waiting is None:
             callback(*args)
         else:
@@ -67,12 +67,12 @@
         return handle
 
     def thaw(self, process: str) -> None:
-        for handles, callback, args in self.frozen.pop(process, ()):
+        for handles, callback, args in self.frozen_callbacks.pop(process, ()):
             if not handles[0].cancelled():
                 super().call_soon(callback, *args, context=handles[0]._context)
 
 
-def play(work: Coroutine[Any, Any, None]) -> None:
+def run_in_virtual_time(work: Coroutine[Any, Any, None]) -> None:
     """Run something on virtual time to its end."""
     with asyncio.Runner(loop_factory=VirtualLoop) as runner:
         runner.run(work)
@@ -105,13 +105,13 @@
 
     def __init__(self, rng: random.Random) -> None:
         self.rng = rng
-        self.hosts: dict[str, tuple[str, Serve]] = {}
+        self.hosts: dict[str, tuple[str, RequestHandler]] = {}
         # Pairs of hosts, from and to, between which connections are refused, or all is held back.
-        self.refuses: set[tuple[str, str]] = set()
-        self.holds: dict[tuple[str, str], asyncio.Event] = {}
+        self.refused_pairs: set[tuple[str, str]] = set()
+        self.held_pairs: dict[tuple[str, str], asyncio.Event] = {}
         # Hosts that stand still: what reaches them waits, and they send nothing.
-        self.hangs: dict[str, asyncio.Event] = {}
-        self.slow: dict[str, float] = {}
+        self.hung_hosts: dict[str, asyncio.Event] = {}
+        self.extra_delay_s: dict[str, float] = {}
         self._tasks: set[asyncio.Task[Any]] = set()
 
     def spawn(self, work: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
@@ -125,15 +125,15 @@
         if not task.cancelled():
             task.exception()
 
-    async def awake(self, host: str) -> None:
-        while host in self.hangs:
-            await self.hangs[host].wait()
+    async def wait_while_hung(self, host: str) -> None:
+        while host in self.hung_hosts:
+            await self.hung_hosts[host].wait()
 
     async def _pass(self, sender: str, receiver: str) -> None:
-        while (sender, receiver) in self.holds:
-            await self.holds[(sender, receiver)].wait()
-        await asyncio.sleep(self.rng.uniform(0.0005, 0.003) + self.slow.get(receiver, 0.0))
-        await self.awake(receiver)
+        while (sender, receiver) in self.held_pairs:
+            await self.held_pairs[(sender, receiver)].wait()
+        await asyncio.sleep(self.rng.uniform(0.0005, 0.003) + self.extra_delay_s.get(receiver, 0.0))
+        await self.wait_while_hung(receiver)
 
     async def _carry(
         self, sender: str, address: str, method: str, path: str, body: bytes
@@ -154,14 +154,14 @@
     ) -> tuple[int, bytes]:
         address, _, path = url.removeprefix("http://").partition("/")
         async with asyncio.timeout(timeout_s):
-            await self.awake(sender)
+            await self.wait_while_hung(sender)
             if address not in self.hosts:
                 await asyncio.sleep(0.001)
                 raise refused()
             name = self.hosts[address][0]
-            if (sender, name) in self.refuses:
+            if (sender, name) in self.refused_pairs:
                 raise refused()
-            if (sender, name) in self.holds and self.rng.random() < 0.5:
+            if (sender, name) in self.held_pairs and self.rng.random() < 0.5:
                 # No connection comes about; what was sent on an open one is held back instead.
                 await asyncio.sleep(min(1.0, timeout_s / 2))
                 raise refused(OSError("timed out"))
@@ -188,7 +188,7 @@
         return None
 
 
-class Session:
+class SimulatedHttp:
     """What mosswalk uses of aiohttp's client, for one host."""
 
     def __init__(self, network: Network, host: str) -> None:
