--- a/mosswalk/jobs/__init__.py
+++ b/mosswalk/jobs/__init__.py
@@ -1,1 +1,1 @@
-"""Jobs and their tasks: admission, the state machine, the registry of those that are open."""
+"""Jobs and their tasks: admission, the state machine, the registry of unfinished jobs."""
--- a/mosswalk/jobs/admission.py
+++ b/mosswalk/jobs/admission.py
@@ -1,4 +1,4 @@
-"""Whether a job could ever run: the 422 of the users' protocol."""
+"""Rejects jobs that could never run, which the users' API answers with status 422."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def fits_machine_type(spec: JobSpec, machine: MachineType) -> bool:
-    """Whether one task fits an empty machine of this type, where the job allows it."""
+    """Whether one task fits an empty machine of this type, and the job may run on it."""
     if spec.types is not None and machine.name not in spec.types:
         return False
     if spec.zone is not None and spec.zone not in machine.zones:
@@ -23,8 +23,8 @@
     )
 
 
-def _zones_for_all(spec: JobSpec, types: tuple[MachineType, ...]) -> bool:
-    """Whether the zones that have fitting machines could hold all tasks at the same time."""
+def _has_zones_for_all_tasks(spec: JobSpec, types: tuple[MachineType, ...]) -> bool:
+    """Whether the zones with suitable machine types allow all tasks to run at the same time."""
     if not spec.spread or spec.tasks == 1:
         return True
     zones = {
@@ -32,20 +32,20 @@
     }
     if spec.zone is not None:
         zones &= {spec.zone}
-    # At most half of the tasks, rounded up, may be in one zone.
+    # A job that is spread may have at most half of its tasks, rounded up, in one zone.
     return not spec.one_zone and len(zones) > 1
 
 
 def rejection_reason(
     spec: JobSpec, types: tuple[MachineType, ...], teams: Mapping[str, Team]
 ) -> str | None:
-    """Why the job can never run, or None."""
+    """The reason why the job can never run, or None if it can."""
     team = teams.get(spec.team)
     if team is None:
         return f"owner: no team {spec.team}"
     if not any(fits_machine_type(spec, machine) for machine in types):
         return "a task fits no allowed machine type"
-    if spec.kind == GANG and not _zones_for_all(spec, types):
+    if spec.kind == GANG and not _has_zones_for_all_tasks(spec, types):
         return "no zones could hold all tasks together"
     count = 1 if spec.kind == ARRAY else spec.tasks
     if team.cpus_max > 0 and count * milli_ceil(spec.cpus) > milli_floor(team.cpus_max):
--- a/mosswalk/jobs/layout.py
+++ b/mosswalk/jobs/layout.py
@@ -1,9 +1,9 @@
-"""Splits a job's records anew, so that each fits the state service's lowered limits.
+"""Splits a job's records into smaller ones when the state service's limits are lowered.
 
-A record that is larger than the service takes stays readable but can't be written again. Its tasks
-are written to smaller chunks under new keys first, which nobody reads yet, and then the header
-names them. Those keys contain the header's version, so they are a function of what they were made
-from: a split that was interrupted, or one whose writes arrive late, changes nothing.
+A record larger than the service accepts stays readable but can't be written again. Its tasks are
+first written to smaller chunks under new keys, which no controller reads yet. Then the header is
+written with the new layout, which names those keys. The layout is the version of the header that
+was split, so a split that is interrupted, or whose writes arrive late, has no effect.
 """
 
 from __future__ import annotations
@@ -17,30 +17,30 @@
 
 
 def needs_split(job: Job, limits: RecordLimits) -> bool:
-    """Whether a job's records may outgrow what the service takes."""
+    """Whether a job's records may grow larger than the service accepts."""
     size = records.chunk_size(limits, job.spec)
     return job.record.chunk_size > size and job.spec.tasks > size
 
 
 class SplitRecords(Struct):
-    """A job in smaller records."""
+    """A job's header and chunks after a split into smaller records."""
 
     header: JobRecord
     chunks: dict[str, TaskChunk]
 
-    def changes(self, guards: dict[str, int], most_writes: int) -> list[Change]:
-        """The commits that bring it about, each to be made once the one before is."""
+    def changes(self, guards: dict[str, int], max_writes: int) -> list[Change]:
+        """The transactions that write the split, to be committed one after the other."""
         key = records.job_key(self.header.spec.id)
         header = {key: Raw(records.encode(self.header))}
         chunks = [(k, Raw(records.encode(tasks))) for k, tasks in self.chunks.items()]
-        if len(chunks) < most_writes:
+        if len(chunks) < max_writes:
             return [Change(guards, {**dict(chunks), **header})]
-        steps = [chunks[i : i + most_writes] for i in range(0, len(chunks), most_writes)]
+        steps = [chunks[i : i + max_writes] for i in range(0, len(chunks), max_writes)]
         return [*(Change(guards, dict(step)) for step in steps), Change(guards, header)]
 
 
 def split_records(job: Job, limits: RecordLimits) -> SplitRecords:
-    """A job's tasks in chunks that fit the limits."""
+    """Split a job's tasks into chunks that fit the limits."""
     size = records.chunk_size(limits, job.spec)
     done = 0
     for number in job.chunk_numbers():
@@ -48,12 +48,12 @@
     live: dict[int, list[Attempt]] = {}
     for attempt in job.live_attempts():
         live.setdefault(attempt.task // size, []).append(attempt)
-    parts: dict[int, TaskChunk] = {}
+    chunks: dict[int, TaskChunk] = {}
     for number in range(-(-job.spec.tasks // size)):
         mask = done >> (number * size) & ((1 << size) - 1)
         tasks = TaskChunk(f"{mask:x}", tuple(live.get(number, ())))
         if number == 0 or tasks != TaskChunk():
-            parts[number] = tasks
+            chunks[number] = tasks
     layout = job.version
     return SplitRecords(
         structs.replace(
@@ -61,7 +61,7 @@
             initial_chunk_size=0,
             split_chunk_size=size,
             layout=layout,
-            tasks=parts.pop(0),
+            tasks=chunks.pop(0),
         ),
-        {records.chunk_key(job.id, n, layout): tasks for n, tasks in parts.items()},
+        {records.chunk_key(job.id, n, layout): tasks for n, tasks in chunks.items()},
     )
--- a/mosswalk/jobs/registry.py
+++ b/mosswalk/jobs/registry.py
@@ -1,4 +1,4 @@
-"""All jobs that are not over, kept by the mirror, with the indexes the deciders need."""
+"""All unfinished jobs, updated by the mirror, with the indexes that scheduling needs."""
 
 from __future__ import annotations
 
@@ -19,7 +19,10 @@
 
 
 class OrphanedChunk(NamedTuple):
-    """A chunk that is no job's, and the version of the job's header by which that is known."""
+    """A chunk that belongs to no job, and the version of the job's header that shows this.
+
+    The version is 0 if the job has no header any more.
+    """
 
     job: str
     version: int
@@ -27,76 +30,79 @@
 
 
 class JobRegistry:
-    """Jobs by id, and live attempts by machine."""
+    """Unfinished jobs by id, and live attempts by machine."""
 
     def __init__(self, mirror: Mirror) -> None:
         self.jobs: dict[str, Job] = {}
-        # Kept with each change: whoever plans asks many times a second, and a job changes seldom.
-        # Open jobs by team that have tasks to be placed; withdrawn ones; what each team takes.
+        # The next three are updated with each change of a job, as they are read many times a second
+        # and a job changes seldom. Open jobs with tasks to be placed, by team and id.
         self.unplaced: dict[str, dict[str, Job]] = {}
+        # Jobs that are not open any more, by id.
         self.withdrawn: dict[str, Job] = {}
+        # The resources that each team uses.
         self._usage: dict[str, Usage] = {}
         self.attempts_by_machine: dict[str, dict[AttemptKey, Attempt]] = {}
-        # By job, layout and number; only those of the layout that the header names are the job's.
+        # By job, then by layout and number. Only chunks of the header's layout belong to the job.
         self._chunks: dict[str, dict[tuple[int, int], TaskChunk]] = {}
-        self._indexed: dict[tuple[str, int], tuple[Attempt, ...]] = {}
-        # Called with (machine, job, attempt) when an attempt appears.
+        # The attempts last seen in each chunk, by job and chunk number.
+        self._indexed_attempts: dict[tuple[str, int], tuple[Attempt, ...]] = {}
+        # Called with the machine's name, the job and the attempt when an attempt is added.
         self.on_attempt_added: list[Callable[[str, Job, Attempt], None]] = []
-        # Gangs of which attempts may be running.
+        # Gangs with attempts that may still run, by id.
         self.gangs: dict[str, Job] = {}
-        # Called with a job that was open and is withdrawn now.
+        # Called with a job that was open and is now withdrawn.
         self.on_withdrawn: list[Callable[[Job], None]] = []
-        # Called with a gang whose attempt has just ended before it was done.
+        # Called with an open gang whose attempt has started to end.
         self.on_gang_ending: list[Callable[[Job], None]] = []
-        # Called with a machine's name when what is placed on it has changed.
+        # Called with a machine's name when the set of attempts on it has changed.
         self.on_machine_changed: list[Callable[[str], None]] = []
         mirror.listen(records.JOB_PREFIX, self._job_changed)
         mirror.listen(records.CHUNK_PREFIX, self._chunk_changed)
 
-    def _index(self, job_id: str, chunk: int, live: tuple[Attempt, ...]) -> list[Attempt]:
-        old = self._indexed.get((job_id, chunk), ())
+    def _index_chunk(self, job_id: str, chunk: int, live: tuple[Attempt, ...]) -> list[Attempt]:
+        previous = self._indexed_attempts.get((job_id, chunk), ())
         if live:
-            self._indexed[(job_id, chunk)] = live
+            self._indexed_attempts[(job_id, chunk)] = live
         else:
-            self._indexed.pop((job_id, chunk), None)
-        kept = set(live)
+            self._indexed_attempts.pop((job_id, chunk), None)
+        current = set(live)
         changed: set[str] = set()
-        for attempt in old:
-            if attempt not in kept:
+        for attempt in previous:
+            if attempt not in current:
                 changed.add(attempt.machine)
-                there = self.attempts_by_machine.get(attempt.machine)
-                if there is not None:
-                    there.pop((job_id, attempt.task, attempt.number), None)
-                    if not there:
+                on_machine = self.attempts_by_machine.get(attempt.machine)
+                if on_machine is not None:
+                    on_machine.pop((job_id, attempt.task, attempt.number), None)
+                    if not on_machine:
                         del self.attempts_by_machine[attempt.machine]
-        known = set(old)
-        fresh = [a for a in live if a not in known]
-        for attempt in fresh:
-            there = self.attempts_by_machine.setdefault(attempt.machine, {})
-            there[(job_id, attempt.task, attempt.number)] = attempt
+        known_attempts = set(previous)
+        added = [a for a in live if a not in known_attempts]
+        for attempt in added:
+            on_machine = self.attempts_by_machine.setdefault(attempt.machine, {})
+            on_machine[(job_id, attempt.task, attempt.number)] = attempt
             changed.add(attempt.machine)
-        for action in self.on_machine_changed:
+        for callback in self.on_machine_changed:
             for machine in changed:
-                action(machine)
-        return fresh
-
-    def _announce(self, job: Job, fresh: Iterable[Attempt]) -> None:
-        for attempt in fresh:
-            for action in self.on_attempt_added:
-                action(attempt.machine, job, attempt)
-
-    def _replace(self, job_id: str, job: Job | None) -> None:
-        """Put a job in the place of what was known of it."""
-        old = self.jobs.pop(job_id, None)
-        if old is not None:
-            self._usage[old.spec.team].add(old, -old.record.live_count)
-            self.unplaced[old.spec.team].pop(job_id, None)
+                callback(machine)
+        return added
+
+    def _notify_added(self, job: Job, added: Iterable[Attempt]) -> None:
+        for attempt in added:
+            for callback in self.on_attempt_added:
+                callback(attempt.machine, job, attempt)
+
+    def _replace_job(self, job_id: str, job: Job | None) -> None:
+        """Replace a job in the indexes; None removes it."""
+        previous = self.jobs.pop(job_id, None)
+        if previous is not None:
+            self._usage[previous.spec.team].add(previous, -previous.record.live_count)
+            self.unplaced[previous.spec.team].pop(job_id, None)
             self.withdrawn.pop(job_id, None)
             self.gangs.pop(job_id, None)
         if job is None:
             return
         self.jobs[job_id] = job
-        # A team's share is looked up by its name though it has nothing to place at the moment.
+        # A team gets its entries even if it has nothing to place: they are looked up by its name.
         self._usage.setdefault(job.spec.team, Usage()).add(job, job.record.live_count)
         unplaced = self.unplaced.setdefault(job.spec.team, {})
         if not job.open:
@@ -107,15 +113,15 @@
             self.gangs[job_id] = job
 
     def usage(self) -> dict[str, Usage]:
-        """What each team takes, by every attempt that may be running; the caller's to change."""
+        """The resources that each team's live attempts use; a copy that the caller may modify."""
         return {team: Usage(used.cpus, used.gpus) for team, used in self._usage.items()}
 
     def _job_changed(self, key: str, value: bytes | None, version: int) -> None:
         job_id = key.removeprefix(records.JOB_PREFIX)
         if value is None:
-            self._replace(job_id, None)
-            for owner, chunk in [k for k in self._indexed if k[0] == job_id]:
-                self._index(owner, chunk, ())
+            self._replace_job(job_id, None)
+            for indexed_id, chunk in [k for k in self._indexed_attempts if k[0] == job_id]:
+                self._index_chunk(indexed_id, chunk, ())
             return
         try:
             record = records.decode_job_record(value)
@@ -123,47 +129,50 @@
             log.error("job record %s can't be read: %s", key, error)
             return
         job = Job(record, version)
-        before = self.jobs.get(job_id)
+        previous = self.jobs.get(job_id)
         for (layout, number), tasks in self._chunks.get(job_id, {}).items():
             if layout == record.layout:
                 job.chunks[number] = tasks
-        self._replace(job_id, job)
-        fresh: list[Attempt] = []
-        if before is None:
-            # When all keys are read anew, chunks come before their job's header. Unindexed, a
-            # leader just started would take their attempts for strays and kill them.
+        self._replace_job(job_id, job)
+        added: list[Attempt] = []
+        if previous is None:
+            # When all keys are read again, a job's chunks arrive before its header. Were these not
+            # indexed, a new leader would take their attempts for unknown tasks and kill them.
             for number, tasks in job.chunks.items():
-                fresh += self._index(job_id, number, tasks.live)
-        if before is None or before.record.layout == record.layout:
-            self._announce(job, [*self._index(job_id, 0, record.tasks.live), *fresh])
+                added += self._index_chunk(job_id, number, tasks.live)
+        if previous is None or previous.record.layout == record.layout:
+            self._notify_added(job, [*self._index_chunk(job_id, 0, record.tasks.live), *added])
         else:
-            self._announce(job, self._index_anew(job_id, job))
-        self._tell_of_end(before, job)
-
-    def _index_anew(self, job_id: str, job: Job) -> list[Attempt]:
-        """Index a job whose layout has changed; the attempts that were not there before."""
-        known = {a for (j, _), live in self._indexed.items() if j == job_id for a in live}
-        for other, chunk in [k for k in self._indexed if k[0] == job_id]:
+            self._notify_added(job, self._reindex(job_id, job))
+        self._notify_end(previous, job)
+
+    def _reindex(self, job_id: str, job: Job) -> list[Attempt]:
+        """Index a job whose layout has changed; return the attempts that are new."""
+        known_attempts = {
+            a for (j, _), live in self._indexed_attempts.items() if j == job_id for a in live
+        }
+        for indexed_id, chunk in [k for k in self._indexed_attempts if k[0] == job_id]:
             if chunk and chunk not in job.chunks:
-                self._index(other, chunk, ())
-        fresh = self._index(job_id, 0, job.record.tasks.live)
+                self._index_chunk(indexed_id, chunk, ())
+        added = self._index_chunk(job_id, 0, job.record.tasks.live)
         for number, tasks in job.chunks.items():
-            fresh += self._index(job_id, number, tasks.live)
-        # An attempt that moves to another chunk leaves the one it was in after it has come.
+            added += self._index_chunk(job_id, number, tasks.live)
+        # An attempt that moved may be added with its new chunk first and then removed with its old
+        # one. Add it again.
         for attempt in job.live_attempts():
-            there = self.attempts_by_machine.setdefault(attempt.machine, {})
-            there[(job_id, attempt.task, attempt.number)] = attempt
-        return [attempt for attempt in fresh if attempt not in known]
+            on_machine = self.attempts_by_machine.setdefault(attempt.machine, {})
+            on_machine[(job_id, attempt.task, attempt.number)] = attempt
+        return [attempt for attempt in added if attempt not in known_attempts]
 
-    def _tell_of_end(self, before: Job | None, job: Job) -> None:
-        if before is None:
+    def _notify_end(self, previous: Job | None, job: Job) -> None:
+        if previous is None:
             return
-        if before.record.phase == "open" and job.record.phase != "open":
-            for action in self.on_withdrawn:
-                action(job)
-        elif job.gang_ending and not before.gang_ending and job.open:
-            for action in self.on_gang_ending:
-                action(job)
+        if previous.record.phase == "open" and job.record.phase != "open":
+            for callback in self.on_withdrawn:
+                callback(job)
+        elif job.gang_ending and not previous.gang_ending and job.open:
+            for callback in self.on_gang_ending:
+                callback(job)
 
     def _chunk_changed(self, key: str, value: bytes | None, _version: int) -> None:
         chunk = records.parse_chunk_key(key)
@@ -178,23 +187,24 @@
             if job is not None and current:
                 job.chunks.pop(number, None)
             if current or job is None:
-                self._index(job_id, number, ())
+                self._index_chunk(job_id, number, ())
             return
         tasks = records.decode_chunk(value)
         chunks[(chunk.layout, number)] = tasks
         if job is not None and current:
             job.chunks[number] = tasks
-            self._announce(job, self._index(job_id, number, tasks.live))
+            self._notify_added(job, self._index_chunk(job_id, number, tasks.live))
 
     def orphaned_chunks(self) -> list[OrphanedChunk]:
-        """Chunks that are no job's: of jobs that are over, or of a layout given up."""
+        """Chunks that belong to no job: of jobs that are over, or of a layout no longer used."""
         found: list[OrphanedChunk] = []
         for job_id, chunks in self._chunks.items():
             job = self.jobs.get(job_id)
-            # Chunks named by the header's version are being written for its next layout.
-            kept = (job.record.layout, job.version) if job is not None else ()
+            # The header's version is the number of its next layout, whose chunks may be in the
+            # course of being written.
+            valid_layouts = (job.record.layout, job.version) if job is not None else ()
             for layout, number in chunks:
-                if layout not in kept:
+                if layout not in valid_layouts:
                     key = records.chunk_key(job_id, number, layout)
                     found.append(OrphanedChunk(job_id, job.version if job is not None else 0, key))
         return found
--- a/mosswalk/jobs/state.py
+++ b/mosswalk/jobs/state.py
@@ -1,7 +1,7 @@
-"""The state machine of a job and its tasks, over the records of the state service.
+"""The state machine of a job and its tasks, stored in the records of the state service.
 
-``Job`` is the mirrored state; ``Draft`` gathers changes to it and turns them into one commit.
-An attempt stays in the record, and counts against every rule, until an outcome removes it.
+``Job`` is the mirrored state; ``Draft`` collects changes to it and turns them into one commit.
+An attempt stays in the record, and counts against every limit, until an outcome removes it.
 """
 
 from __future__ import annotations
@@ -19,50 +19,61 @@
 from mosswalk.wire.users import ARRAY, GANG, JobSpec
 
 PRIORITIES = ("prod", "high", "standard", "idle")
+PROD_RANK = PRIORITIES.index("prod")
+HIGH_RANK = PRIORITIES.index("high")
+STANDARD_RANK = PRIORITIES.index("standard")
 IDLE_RANK = PRIORITIES.index("idle")
 
+# Differences below this, in thousandths, are floating-point errors and don't count as an amount.
+_ROUNDING_ERROR = 1e-6
+_MAX_INDEX_DIGITS = 9
+# The deadline of a job without one: later than any wall time.
+_NO_DEADLINE_US = 1 << 62
 
-# A deployment has few different amounts, and they are asked for with each task and machine.
+
+# Cached: a deployment has few distinct amounts, and they are converted for each task and machine.
 @lru_cache(maxsize=1024)
 def milli_ceil(amount: float) -> int:
-    """An amount in whole thousandths, rounded up so that sums never hide a part of it."""
+    """Convert a requested amount to whole thousandths, rounded up.
+
+    A sum of requests is then never smaller than what was requested.
+    """
     scaled = amount * 1000
     nearest = round(scaled)
-    return nearest if abs(scaled - nearest) < 1e-6 else int(scaled) + 1
+    return nearest if abs(scaled - nearest) < _ROUNDING_ERROR else int(scaled) + 1
 
 
 @lru_cache(maxsize=1024)
 def milli_floor(amount: float) -> int:
-    """Room in whole thousandths, rounded down."""
+    """Convert a capacity or a limit to whole thousandths, rounded down."""
     scaled = amount * 1000
     nearest = round(scaled)
-    return nearest if abs(scaled - nearest) < 1e-6 else int(scaled)
+    return nearest if abs(scaled - nearest) < _ROUNDING_ERROR else int(scaled)
 
 
 def task_name(job_id: str, index: int) -> str:
-    """How the wire names a task."""
+    """The name of a task in messages."""
     return f"{job_id}/{index}"
 
 
-# Asked for each task of each report, and what runs stays the same for many of them. Beyond these,
-# names are taken apart again, for a microsecond each: more would cost 250 bytes of memory a name.
+# Cached because every report lists every running task, and these change seldom. An entry takes 250
+# bytes of memory; a name that is not cached takes a microsecond to parse.
 @lru_cache(maxsize=32_768)
 def parse_task_name(name: str) -> tuple[str, int] | None:
-    """A task's job and index, or None if the name isn't one."""
+    """The job and index in a task's name, or None if it isn't a valid one."""
     job_id, slash, index = name.partition("/")
-    if not slash or not index.isascii() or not index.isdigit() or len(index) > 9:
+    if not slash or not index.isascii() or not index.isdigit() or len(index) > _MAX_INDEX_DIGITS:
         return None
     return job_id, int(index)
 
 
 class Job:
-    """A job that is not over, as the mirror shows it."""
+    """A job that is not over, as mirrored from the state service."""
 
     def __init__(self, record: JobRecord, version: int) -> None:
         self.record = record
         self.version = version
         self.chunks: dict[int, TaskChunk] = {}
-        # What the user asked for.
         self.spec: JobSpec = record.spec
         self.id: str = record.spec.id
         spec = record.spec
@@ -71,76 +82,76 @@
         self.memory = milli_ceil(spec.memory_gb)
         self.rank = PRIORITIES.index(spec.priority)
         self.is_gang = spec.kind == GANG
-        # How many of its tasks have to be placed in one go.
+        # How many of its tasks must be placed together: 1 unless it is a gang.
         self.gang_size = spec.tasks if self.is_gang else 1
-        # Its place in its team's queue, with by whose aims and for which moment it was worked out.
+        # Its sort key in the team's queue, after the QueueOrder and the interval it is valid for.
         self.cached_queue_key: tuple[object, int, tuple[int, bool, int, int, str]] | None = None
 
     @property
     def open(self) -> bool:
-        """Whether its tasks may start, or go on."""
+        """Whether its tasks may start or continue to run."""
         return self.record.phase == "open" and not self.record.completed()
 
     @property
     def startable(self) -> bool:
-        """Whether its attempts may be started: those of a gang only once all are recorded."""
+        """Whether its attempts may start; a gang's may once all of them are recorded."""
         return self.open and (not self.is_gang or self.record.gang_phase == "placed")
 
     @property
     def gang_ending(self) -> bool:
-        """Whether it is a gang whose attempt has lost a task, or was never placed whole."""
+        """Whether it is a gang whose attempt lost a task or was never placed completely."""
         return self.record.gang_phase == "ending"
 
     def deadline_at_us(self) -> int:
-        """The wall time by which it should be done; the far future if it has no deadline."""
+        """The wall time by which it should be done; a time beyond any if it has no deadline."""
         deadline_s = self.spec.deadline_s
         if deadline_s is None:
-            return 1 << 62
+            return _NO_DEADLINE_US
         return self.record.submitted_at_us + round(deadline_s * 1e6)
 
     def pending_count(self) -> int:
-        """Tasks to be placed: neither done nor live, and of a gang all or none."""
+        """The number of tasks to be placed: neither done nor live; for a gang, all or none."""
         if self.is_gang and (self.record.live_count or self.record.completed()):
             return 0
         return max(0, self.spec.tasks - self.record.done_count - self.record.live_count)
 
     def chunk_of(self, index: int) -> int:
-        """Which record holds a task."""
+        """The number of the chunk that holds a task."""
         return index // self.record.chunk_size
 
     def tasks_of(self, chunk: int) -> TaskChunk:
-        """A record's tasks; one never written has all of them pending."""
+        """The tasks of a chunk; in one that was never written all are pending."""
         if chunk == 0:
             return self.record.tasks
         return self.chunks.get(chunk, TaskChunk())
 
     def chunk_numbers(self) -> range:
-        """All chunks of the job."""
+        """The numbers of all chunks of the job."""
         return range(-(-self.spec.tasks // self.record.chunk_size))
 
     def live_attempts(self) -> Iterator[Attempt]:
-        """Every attempt that may be running."""
+        """Iterate over the attempts that may still run."""
         yield from self.record.tasks.live
         for chunk in self.chunks.values():
             yield from chunk.live
 
     def pending_tasks(self) -> Iterator[int]:
-        """Tasks to be placed, in order."""
-        left = self.pending_count()
+        """Iterate over the indexes of the tasks to be placed, in ascending order."""
+        remaining = self.pending_count()
         size = self.record.chunk_size
         for number in self.chunk_numbers():
-            if left <= 0:
+            if remaining <= 0:
                 return
             tasks = self.tasks_of(number)
-            busy = {a.task for a in tasks.live}
+            live = {a.task for a in tasks.live}
             mask = tasks.done_mask()
             for index in range(number * size, min((number + 1) * size, self.spec.tasks)):
-                if not mask >> (index - number * size) & 1 and index not in busy:
-                    left -= 1
+                if not mask >> (index - number * size) & 1 and index not in live:
+                    remaining -= 1
                     yield index
 
     def find_attempt(self, index: int, number: int) -> Attempt | None:
-        """A live attempt."""
+        """The live attempt with this task index and attempt number, or None."""
         for attempt in self.tasks_of(self.chunk_of(index)).live:
             if attempt.task == index and attempt.number == number:
                 return attempt
@@ -148,19 +159,19 @@
 
 
 class Usage(Struct):
-    """What a team's live attempts take, in thousandths."""
+    """The resources that a team's live attempts use, in thousandths."""
 
     cpus: int = 0
     gpus: int = 0
 
     def add(self, job: Job, count: int = 1) -> None:
-        """Count attempts."""
+        """Add attempts of a job; a negative count subtracts them."""
         self.cpus += job.cpus * count
         self.gpus += job.gpus * count
 
 
 class Assignment(Struct, frozen=True):
-    """Where a task is to run."""
+    """The machine, and the session of its worker, that a task is assigned to."""
 
     index: int
     machine: str
@@ -168,13 +179,13 @@
 
 
 class Draft:
-    """Changes to one job that become one commit."""
+    """Changes to one job, to be committed in one transaction."""
 
     def __init__(self, job: Job, limits: records.RecordLimits) -> None:
         self.job = job
         self.record = job.record
-        # The header is written too.
-        self._most_chunks = limits.txn_ops - 1
+        # Every transaction writes the header as well.
+        self._max_chunks = limits.txn_ops - 1
         self._value_bytes = limits.value_bytes
         self._chunks: dict[int, TaskChunk] = {}
         self.placed: list[Attempt] = []
@@ -184,15 +195,16 @@
         found = self._chunks.get(chunk)
         return self.job.tasks_of(chunk) if found is None else found
 
-    def _may_touch(self, chunk: int) -> bool:
+    def _can_write_chunk(self, chunk: int) -> bool:
         if chunk == 0 or chunk in self._chunks:
             return True
-        return sum(1 for c in self._chunks if c) < self._most_chunks
+        return sum(1 for c in self._chunks if c) < self._max_chunks
 
-    def _has_room(self, chunk: int, tasks: TaskChunk, machine: str) -> bool:
-        """Whether a record with one more attempt is not larger than the service takes.
+    def _fits_record(self, chunk: int, tasks: TaskChunk, machine: str) -> bool:
+        """Whether the record stays within the service's size limit with one more attempt.
 
-        Where machines' names are short, it always is: tasks are few enough in a record.
+        The size is computed only for a record with many attempts: the number of tasks in a record
+        is chosen so that with short machine names it always fits.
         """
         if len(tasks.live) * records.TYPICAL_MAX_ROW_BYTES < self._value_bytes // 4:
             return True
@@ -203,30 +215,33 @@
         return rows + len(tasks.done) + header <= self._value_bytes
 
     def record_outcome(self, index: int, number: int, kind: OutcomeKind) -> bool:
-        """Take an attempt out; whether it was there and could be."""
+        """Remove an attempt that has ended.
+
+        Return False if it is not recorded or its chunk doesn't fit this transaction.
+        """
         chunk = self.job.chunk_of(index)
         tasks = self._tasks(chunk)
-        gone = next((a for a in tasks.live if a.task == index and a.number == number), None)
-        if gone is None or not self._may_touch(chunk):
+        removed = next((a for a in tasks.live if a.task == index and a.number == number), None)
+        if removed is None or not self._can_write_chunk(chunk):
             return False
         done = tasks.done
         if self.job.is_gang:
-            self._settle_gang(kind)
-        # A completed replica of a service has no business ending: it is started again.
+            self._record_gang_outcome(kind)
+        # A service's replica that exits successfully is not done: it is started again.
         elif kind == "done" and self.record.spec.kind == ARRAY:
             mask = tasks.done_mask()
             bit = 1 << (index - chunk * self.record.chunk_size)
             if not mask & bit:
                 done = f"{mask | bit:x}"
                 self.record = structs.replace(self.record, done_count=self.record.done_count + 1)
-        live = tuple(a for a in tasks.live if a is not gone)
+        live = tuple(a for a in tasks.live if a is not removed)
         self._chunks[chunk] = TaskChunk(done, live)
         self.record = structs.replace(self.record, live_count=self.record.live_count - 1)
-        self.ended.append(gone)
+        self.ended.append(removed)
         return True
 
-    def _settle_gang(self, kind: OutcomeKind) -> None:
-        """One task of a gang is gone: either all are done, or the attempt is over for all."""
+    def _record_gang_outcome(self, kind: OutcomeKind) -> None:
+        """End a gang's attempt with its first task that ends; if that is done, all are."""
         if self.record.completed():
             return
         if kind == "done":
@@ -234,46 +249,50 @@
         self.record = structs.replace(self.record, gang_phase="ending")
 
     def end_gang(self) -> None:
-        """Give up a gang's attempt: its tasks are stopped, and all are placed anew."""
+        """End a gang's attempt: its tasks are stopped, then all are placed again."""
         self.record = structs.replace(self.record, gang_phase="ending")
 
-    def place_gang(self, places: list[Assignment], term: int) -> list[Assignment]:
-        """Add a gang's attempts, all with one number; those that don't fit one commit are left.
+    def place_gang(self, assignments: list[Assignment], term: int) -> list[Assignment]:
+        """Add a gang's attempts, all with one number; return those that don't fit the commit.
 
-        Nothing may start until the last one is recorded.
+        No task may start until the last attempt is recorded.
         """
         if self.record.live_count == 0:
             number = self.record.next_attempt
             self.record = structs.replace(self.record, next_attempt=number + 1)
         else:
             number = self.record.next_attempt - 1
-        left = [place for place in places if self._add(place, number, term) is None]
+        remaining = [
+            assignment
+            for assignment in assignments
+            if self._add_attempt(assignment, number, term) is None
+        ]
         phase: GangPhase = "placed" if self.record.live_count == self.job.spec.tasks else "placing"
         self.record = structs.replace(self.record, gang_phase=phase)
-        return left
+        return remaining
 
-    def place(self, place: Assignment, term: int) -> Attempt | None:
-        """Add an attempt for a pending task; None if it is not pending or does not fit here."""
-        attempt = self._add(place, self.record.next_attempt, term)
+    def place(self, assignment: Assignment, term: int) -> Attempt | None:
+        """Add an attempt for a pending task; None if it isn't pending or doesn't fit."""
+        attempt = self._add_attempt(assignment, self.record.next_attempt, term)
         if attempt is not None:
             number = self.record.next_attempt + 1
             self.record = structs.replace(self.record, next_attempt=number)
         return attempt
 
-    def _add(self, place: Assignment, number: int, term: int) -> Attempt | None:
-        index = place.index
+    def _add_attempt(self, assignment: Assignment, number: int, term: int) -> Attempt | None:
+        index = assignment.index
         if self.record.phase != "open" or not 0 <= index < self.record.spec.tasks:
             return None
         chunk = self.job.chunk_of(index)
         tasks = self._tasks(chunk)
         if tasks.done_mask() >> (index - chunk * self.record.chunk_size) & 1:
             return None
-        # The rule ran_twice: a task with an attempt that may be running gets no other.
-        if any(a.task == index for a in tasks.live) or not self._may_touch(chunk):
+        # A task must never run twice: no second attempt while the first one may still run.
+        if any(a.task == index for a in tasks.live) or not self._can_write_chunk(chunk):
             return None
-        if not self._has_room(chunk, tasks, place.machine):
+        if not self._fits_record(chunk, tasks, assignment.machine):
             return None
-        attempt = Attempt(index, number, place.machine, place.session, term)
+        attempt = Attempt(index, number, assignment.machine, assignment.session, term)
         self._chunks[chunk] = TaskChunk(tasks.done, (*tasks.live, attempt))
         self.record = structs.replace(self.record, live_count=self.record.live_count + 1)
         self.placed.append(attempt)
@@ -288,10 +307,10 @@
         )
 
     def final_record(self) -> FinalRecord | None:
-        """What is kept of the job if these changes end it."""
+        """The record that replaces the job's if these changes close it, else None."""
         record = self.record
         if record.live_count > 0:
-            # A gang is done with its first task that is; the others must have gone all the same.
+            # A gang counts as done with its first done task, but its other attempts may still run.
             return None
         if record.completed():
             return FinalRecord("done", record.done_count)
@@ -300,14 +319,14 @@
         return None
 
     def to_change(self, guards: dict[str, int]) -> Change:
-        """The commit, guarded by the job's version and by what the caller adds."""
+        """Build the transaction, guarded by the job's version and the caller's guards."""
         job_id = self.job.id
         key = records.job_key(job_id)
         all_guards = {**guards, key: self.job.version}
         final = self.final_record()
         if final is not None:
             if self.record.phase == "withdrawn":
-                # A job once called cancelled stays so, even if its last task completed.
+                # A withdrawn job remains withdrawn, even if its last task completed.
                 final = FinalRecord("withdrawn", final.done)
             final_key = records.final_key(job_id)
             puts = {final_key: Raw(records.encode(final))}
@@ -321,17 +340,17 @@
 
 
 def record_limits(state: StateLimits) -> records.RecordLimits:
-    """What the state service's limits mean for records."""
+    """The limits for records that follow from the state service's limits."""
     return records.RecordLimits(int(state.value_kb * 1024), state.txn_ops)
 
 
-def new_record(spec: JobSpec, submitted_us: int, chunk: int) -> JobRecord:
-    """The record of a job just submitted."""
-    return JobRecord(spec, submitted_us, chunk)
+def new_record(spec: JobSpec, submitted_at_us: int, chunk_size: int) -> JobRecord:
+    """The record of a newly submitted job."""
+    return JobRecord(spec, submitted_at_us, chunk_size)
 
 
 def withdraw_change(job: Job, now_us: int) -> Change:
-    """The commit by which a job is cancelled, at this time of day."""
+    """Build the transaction that withdraws a job at the given wall time."""
     record = structs.replace(job.record, phase="withdrawn", withdrawn_at_us=now_us)
     key = records.job_key(job.id)
     if record.live_count == 0:
