--- a/mosswalk/placement/__init__.py
+++ b/mosswalk/placement/__init__.py
@@ -1,1 +1,1 @@
-"""What runs where: room on machines, team queues, preemption, the owner that places for teams."""
+"""Task placement: free capacity, team queues, preemption and the owner that places for teams."""
--- a/mosswalk/placement/capacity.py
+++ b/mosswalk/placement/capacity.py
@@ -1,4 +1,4 @@
-"""Room on booted machines, and whether a task may take it."""
+"""Free capacity on booted machines, and which tasks may use it."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 from msgspec import Struct, field
 
-from mosswalk.jobs.state import Job
+from mosswalk.jobs.state import PROD_RANK, Job
 from mosswalk.wire.peers import MachineOffer
 from mosswalk.wire.users import JobSpec
 
 
 class FreeCapacity(Struct, gc=False):
-    """What is free on one machine; amounts in thousandths."""
+    """The free resources of one machine; amounts are in thousandths."""
 
     machine: str
     type: str
@@ -22,38 +22,38 @@
     cpus: int
     gpus: int
     memory: int
-    # At hand or on their way: tasks that need the same image share one fetch.
+    # Cached, or being fetched: tasks that need the same image share one fetch.
     images: frozenset[str] = frozenset()
-    # The price of a core for an hour, and how long a gigabyte of image takes to fetch.
+    # The price of one core per hour.
     core_price: float = 0.0
     fetch_s_per_gb: float = 0.0
-    # To be emptied: taken only when nothing else fits.
+    # To be drained: used only when nothing else fits.
     cordoned: bool = False
-    # Cores that replicas take: they stay, so more of them cost no further machine.
+    # CPUs used by replicas. These stay, so another replica here keeps no further machine rented.
     replica_cpus: int = 0
-    # The jobs for which attempts were stopped here a moment ago, if any were.
+    # Jobs with a claim on this capacity: overdue ones, and those that attempts were stopped for.
     claimed_by: frozenset[str] = frozenset()
 
     def fits(self, job: Job) -> bool:
-        """Whether one task of the job fits by amounts."""
+        """Whether the free amounts suffice for one task of the job."""
         return self.cpus >= job.cpus and self.gpus >= job.gpus and self.memory >= job.memory
 
     def image_fetch_s(self, job: Job) -> float:
-        """How long a task of the job would wait for its image."""
+        """How long a task of the job would wait for its image to be fetched."""
         spec = job.spec
         return 0.0 if spec.image in self.images else spec.image_gb * self.fetch_s_per_gb
 
     def max_tasks(self, job: Job) -> int:
-        """How many tasks of the job fit by amounts."""
+        """For how many tasks of the job the free amounts suffice."""
         pairs = ((self.cpus, job.cpus), (self.gpus, job.gpus), (self.memory, job.memory))
-        return max(0, min((free // asked for free, asked in pairs if asked), default=0))
+        return max(0, min((free // requested for free, requested in pairs if requested), default=0))
 
     def free_fraction(self, job: Job) -> float:
-        """How much of what a task asks for is free, by its scarcest amount."""
+        """The fraction of a task's request that is free, of CPU or memory, whichever is scarcer."""
         return min(self.cpus / max(1, job.cpus), self.memory / max(1, job.memory))
 
     def allocate(self, job: Job, count: int = 1) -> None:
-        """Use room for tasks; a negative count gives it back."""
+        """Allocate capacity to tasks; a negative count frees it."""
         self.cpus -= job.cpus * count
         self.gpus -= job.gpus * count
         self.memory -= job.memory * count
@@ -63,7 +63,7 @@
                 self.replica_cpus += job.cpus * count
 
     def allows(self, job: Job) -> bool:
-        """Whether the job may run on such a machine at all."""
+        """Whether the job's type, zone and spot requirements admit this machine."""
         spec = job.spec
         if spec.types is not None and self.type not in spec.types:
             return False
@@ -73,7 +73,7 @@
 
 
 def capacity_from_offer(offer: MachineOffer) -> FreeCapacity:
-    """The room of an offer."""
+    """The free capacity that an offer describes."""
     return FreeCapacity(
         offer.machine,
         offer.type,
@@ -90,10 +90,11 @@
 
 
 class ZoneRule(Struct):
-    """Where a job's next task may go, given its attempts that may be running."""
+    """The zones allowed for a job's next task, given the zones of its live attempts."""
 
     one_zone: bool
     max_in_zone: int
+    # Live attempts by zone.
     counts: dict[str, int] = field(default_factory=dict)
 
     def allows(self, zone: str) -> bool:
@@ -107,100 +108,115 @@
         return self.max_in_zone - self.counts.get(zone, 0) if self.allows(zone) else 0
 
     def add(self, zone: str, count: int = 1) -> None:
-        """Count attempts."""
+        """Count attempts that start in a zone."""
         self.counts[zone] = self.counts.get(zone, 0) + count
 
 
 def new_zone_rule(spec: JobSpec) -> ZoneRule:
-    """The rule for a job of which nothing runs."""
+    """The zone rule for a job without live attempts."""
     return ZoneRule(spec.one_zone, -(-spec.tasks // 2) if spec.spread else spec.tasks)
 
 
-def zone_rule(job: Job, zone_of: Mapping[str, str]) -> ZoneRule | None:
-    """The rule for a job; None if the zone of one of its machines is not known yet.
+def zone_rule(job: Job, zones_by_machine: Mapping[str, str]) -> ZoneRule | None:
+    """The zone rule for a job; None if the zone of one of its machines is not known yet.
 
-    An attempt on a machine nobody can tell the zone of might be anywhere, so a job with a rule
-    about zones then waits.
+    Such an attempt might be in any zone, so a job with zone requirements then has to wait.
     """
     spec = job.spec
     rule = new_zone_rule(spec)
     if not spec.one_zone and not spec.spread:
         return rule
     for attempt in job.live_attempts():
-        zone = zone_of.get(attempt.machine)
+        zone = zones_by_machine.get(attempt.machine)
         if zone is None:
             return None
         rule.add(zone)
     return rule
 
 
-# Estimates near zero must not make the image's fetch look like the whole cost.
-_LEAST_RUN_S = 10.0
+# Lower bound for a task's run time: with an estimate near zero, the cost would consist of the image
+# fetch alone.
+_MIN_RUN_S = 10.0
 
 
-def _money(job: Job, room: FreeCapacity, fetch_s: float) -> float:
-    """What a task's stay on the machine costs, its image's fetch included."""
-    return room.core_price * (fetch_s + max(_LEAST_RUN_S, job.spec.estimate_s))
+def _occupancy_cost(job: Job, capacity: FreeCapacity, fetch_s: float) -> float:
+    """The cost of running a task on the machine, including the fetch of its image."""
+    return capacity.core_price * (fetch_s + max(_MIN_RUN_S, job.spec.estimate_s))
 
 
-# Fetches that differ by less than this are alike: to a replica or a gang, and to others.
-_REPLICA_STEP_S = 0.3
-_FETCH_STEP_S = 3.0
+# Fetch times are rounded to multiples of these before they are compared: the first is for replicas
+# and gangs, the second for arrays.
+_REPLICA_FETCH_STEP_S = 0.3
+_ARRAY_FETCH_STEP_S = 3.0
 
 
 def best_capacity(
-    job: Job, rooms: Iterable[FreeCapacity], rule: ZoneRule, avoid: set[str]
+    job: Job, capacities: Iterable[FreeCapacity], rule: ZoneRule, avoided_machines: set[str]
 ) -> FreeCapacity | None:
-    """Where the job's next task goes.
+    """The capacity to use for the job's next task, or None if it fits nowhere.
 
-    It goes where its image is at hand or soon there: a fetch holds the room and does nothing.
-    A replica stays long, so among those it goes where replicas are already, then on cheap room:
-    a lone one keeps a whole machine from being given back. Other work goes where its stay costs
-    least. Then a tight fit, so that large room stays whole.
+    Machines that are not cordoned come first, then those where the image is cached or fetched soon:
+    during a fetch the capacity is occupied but unused. Replicas run long, and a single one prevents
+    a whole machine from being released: they prefer machines with other replicas, then a low price.
+    Other tasks prefer the lowest cost of their run. Last comes the tightest fit, so that large free
+    capacities are not broken up.
     """
     best: FreeCapacity | None = None
     best_key: tuple[bool, int, float, int, int, str] | None = None
     spec = job.spec
     cpus, gpus, memory = job.cpus, job.gpus, job.memory
-    for room in rooms:
-        # Most rooms fail here, and every job that waits asks all of them.
-        if room.cpus < cpus or room.memory < memory or room.gpus < gpus:
+    for capacity in capacities:
+        # Most machines fail this check. It comes first, as every waiting job scans all machines.
+        if capacity.cpus < cpus or capacity.memory < memory or capacity.gpus < gpus:
             continue
-        if not room.allows(job) or room.machine in avoid or not rule.allows(room.zone):
+        if (
+            not capacity.allows(job)
+            or capacity.machine in avoided_machines
+            or not rule.allows(capacity.zone)
+        ):
             continue
-        if room.claimed_by and job.id not in room.claimed_by and job.rank > 0:
-            # Else the stopped task itself would be put back at once, and stopped again. Replicas
-            # wait for nobody.
+        if capacity.claimed_by and job.id not in capacity.claimed_by and job.rank > PROD_RANK:
+            # Without claims, a task that was just stopped would be placed here again and be stopped
+            # again. Prod work, such as replicas, ignores claims.
             continue
-        fetch_s = room.image_fetch_s(job)
+        fetch_s = capacity.image_fetch_s(job)
         if spec.kind == "daemon":
-            first = round(fetch_s / _REPLICA_STEP_S)
-            second = (0.0 if room.replica_cpus else 1.0) + round(room.core_price, 3)
+            fetch_rank = round(fetch_s / _REPLICA_FETCH_STEP_S)
+            cost_rank = (0.0 if capacity.replica_cpus else 1.0) + round(capacity.core_price, 3)
         elif job.is_gang:
-            # All of it waits for its last fetch.
-            first, second = round(fetch_s / _REPLICA_STEP_S), round(_money(job, room, fetch_s), 2)
+            # All of its tasks wait for the last fetch.
+            fetch_rank, cost_rank = (
+                round(fetch_s / _REPLICA_FETCH_STEP_S),
+                round(_occupancy_cost(job, capacity, fetch_s), 2),
+            )
         else:
-            first, second = round(fetch_s / _FETCH_STEP_S), round(_money(job, room, fetch_s), 2)
+            fetch_rank, cost_rank = (
+                round(fetch_s / _ARRAY_FETCH_STEP_S),
+                round(_occupancy_cost(job, capacity, fetch_s), 2),
+            )
         key = (
-            room.cordoned,
-            first,
-            second,
-            # Spread replicas evenly, so that the last one still finds a zone open.
-            rule.counts.get(room.zone, 0) if spec.spread else 0,
-            room.cpus - job.cpus,
-            room.machine,
+            capacity.cordoned,
+            fetch_rank,
+            cost_rank,
+            # Distribute evenly over zones, so that the last task still finds an allowed zone.
+            rule.counts.get(capacity.zone, 0) if spec.spread else 0,
+            capacity.cpus - job.cpus,
+            capacity.machine,
         )
         if best_key is None or key < best_key:
-            best, best_key = room, key
+            best, best_key = capacity, key
     return best
 
 
 def capacity_to_claim(
-    job: Job, rooms: Iterable[FreeCapacity], shapes: Container[str]
+    job: Job, capacities: Iterable[FreeCapacity], machine_types: Container[str]
 ) -> FreeCapacity | None:
-    """The room to keep for a job that is overdue, until its machine has enough of it free.
+    """The capacity that an overdue job is to claim until enough of it is free, if there is any.
 
-    Else small tasks take each scattered bit that comes free, and a large one never begins.
+    Without a claim, small tasks would use each part that becomes free, and a large task would never
+    start.
     """
-    open_to = (r for r in rooms if not r.claimed_by and r.allows(job) and r.type in shapes)
-    return max(open_to, key=lambda r: (r.free_fraction(job), r.machine), default=None)
+    candidates = (
+        c for c in capacities if not c.claimed_by and c.allows(job) and c.type in machine_types
+    )
+    return max(candidates, key=lambda c: (c.free_fraction(job), c.machine), default=None)
--- a/mosswalk/placement/failure_backoff.py
+++ b/mosswalk/placement/failure_backoff.py
@@ -1,4 +1,4 @@
-"""What failed attempts teach: machines that a job avoids, and how long it waits."""
+"""Consequences of failed attempts: machines that a job avoids, and delays before its next one."""
 
 from __future__ import annotations
 
@@ -9,58 +9,58 @@
 from mosswalk.actors import SECOND_US
 from mosswalk.wire.peers import Outcome
 
-_BACKOFF_US = SECOND_US
-_MOST_BACKOFF_US = 30 * SECOND_US
-_MOST_DOUBLINGS = 5
-# The first failures are mostly the machine's: the job is tried elsewhere at once. One that fails
-# everywhere must not take the cluster's time.
-_FREE_FAILURES = 3
-_MOST_AVOIDED = 6
+_INITIAL_BACKOFF_US = SECOND_US
+_MAX_BACKOFF_US = 30 * SECOND_US
+_MAX_DOUBLINGS = 5
+# The first failures are usually caused by the machine, so the job is retried elsewhere at once. A
+# job that fails everywhere must not keep the cluster busy.
+_FAILURES_WITHOUT_BACKOFF = 3
+_MAX_AVOIDED_MACHINES = 6
 
 
-class Hold(Struct):
-    """A job whose attempts fail for reasons that are not the machine's: wait before the next."""
+class JobDelay(Struct):
+    """Failures of a job that may be its own fault, and the end of the delay they cause."""
 
     failures: int
     until_us: int
 
 
 class FailureBackoff:
-    """Kept for open jobs only; an owner that is new to a team begins without."""
+    """Failures of open jobs, kept in memory: a team's new owner starts without them."""
 
     def __init__(self) -> None:
         self.avoided_machines: dict[str, set[str]] = {}
-        self._holds: dict[str, Hold] = {}
+        self._delays: dict[str, JobDelay] = {}
 
     def record_outcome(self, job_id: str, outcome: Outcome, now_us: int) -> None:
-        """Take in an attempt's outcome."""
+        """Update the job's avoided machines and its delay after an attempt has ended."""
         if outcome.kind == "done":
-            self._holds.pop(job_id, None)
+            self._delays.pop(job_id, None)
         if outcome.kind == "error":
-            self._avoid(job_id, outcome.machine)
+            self._avoid_machine(job_id, outcome.machine)
         if outcome.kind in ("error", "refused"):
-            self._hold(job_id, now_us, refused=outcome.kind == "refused")
+            self._delay_job(job_id, now_us, refused=outcome.kind == "refused")
 
-    def _avoid(self, job_id: str, machine: str) -> None:
+    def _avoid_machine(self, job_id: str, machine: str) -> None:
         avoided = self.avoided_machines.setdefault(job_id, set())
-        if len(avoided) >= _MOST_AVOIDED:
+        if len(avoided) >= _MAX_AVOIDED_MACHINES:
             avoided.clear()
         avoided.add(machine)
 
-    def _hold(self, job_id: str, now_us: int, *, refused: bool) -> None:
-        hold = self._holds.setdefault(job_id, Hold(0, 0))
-        hold.failures += 1
-        if hold.failures > _FREE_FAILURES or refused:
-            doublings = min(_MOST_DOUBLINGS, max(0, hold.failures - _FREE_FAILURES - 1))
-            hold.until_us = now_us + min(_MOST_BACKOFF_US, _BACKOFF_US << doublings)
+    def _delay_job(self, job_id: str, now_us: int, *, refused: bool) -> None:
+        delay = self._delays.setdefault(job_id, JobDelay(0, 0))
+        delay.failures += 1
+        if delay.failures > _FAILURES_WITHOUT_BACKOFF or refused:
+            doublings = min(_MAX_DOUBLINGS, max(0, delay.failures - _FAILURES_WITHOUT_BACKOFF - 1))
+            delay.until_us = now_us + min(_MAX_BACKOFF_US, _INITIAL_BACKOFF_US << doublings)
 
-    def delayed_jobs(self, now_us: int) -> dict[str, Hold]:
-        """The jobs that wait."""
-        return {job_id: hold for job_id, hold in self._holds.items() if hold.until_us > now_us}
+    def delayed_jobs(self, now_us: int) -> dict[str, JobDelay]:
+        """The jobs that must not be placed yet."""
+        return {job_id: delay for job_id, delay in self._delays.items() if delay.until_us > now_us}
 
-    def retain_only(self, jobs: Container[str]) -> None:
-        """Drop what is kept of jobs that are over."""
-        for job_id in [job_id for job_id in self.avoided_machines if job_id not in jobs]:
+    def retain_only(self, open_jobs: Container[str]) -> None:
+        """Discard the failures of all other jobs."""
+        for job_id in [job_id for job_id in self.avoided_machines if job_id not in open_jobs]:
             del self.avoided_machines[job_id]
-        for job_id in [job_id for job_id in self._holds if job_id not in jobs]:
-            del self._holds[job_id]
+        for job_id in [job_id for job_id in self._delays if job_id not in open_jobs]:
+            del self._delays[job_id]
