--- a/mosswalk/placement/preemption.py
+++ b/mosswalk/placement/preemption.py
@@ -1,4 +1,4 @@
-"""Which attempts to stop so that more urgent work gets room."""
+"""Chooses attempts to stop so that more urgent work gets capacity."""
 
 from __future__ import annotations
 
@@ -7,233 +7,247 @@
 from msgspec import Struct, structs
 
 from mosswalk.config import Team
-from mosswalk.jobs.state import Job, Usage, milli_floor
+from mosswalk.jobs.state import IDLE_RANK, PROD_RANK, Job, Usage, milli_floor
 from mosswalk.placement.capacity import FreeCapacity, ZoneRule, new_zone_rule, zone_rule
 from mosswalk.placement.queues import fits_quota
 from mosswalk.store.records import Attempt
 from mosswalk.wire.users import JobSpec
 
-# Saving that takes more than this part of what would be lost on average only holds up the room.
-_SAVING_PART = 0.7
-# How many tasks are looked at in one go: each look asks every machine.
-_MOST_LOOKS = 48
-# One idle task that can save: no choice is better but free room, which would have been offered.
-_NO_BETTER = (0, 1, -3)
+# A checkpoint that takes more than this fraction of the run time that is lost on average without it
+# only delays the release of the capacity.
+_MAX_CHECKPOINT_COST_RATIO = 0.7
+# How many tasks are considered in one call: each of them scans all machines.
+_MAX_SCANS = 48
+# One idle task that can checkpoint. Only free capacity would be better, and that would have been
+# offered.
+_BEST_POSSIBLE_KEY = (0, 1, -IDLE_RANK)
 
 
 class Victim(Struct, frozen=True, gc=False):
-    """An attempt that could be stopped, and the job that would get its room."""
+    """An attempt that may be stopped, and the id of the job that would get its capacity."""
 
     job: Job
     attempt: Attempt
     preempting_job: str = ""
-    # Waited long to begin: only prod work may stop it, or it might never get anywhere.
+    # Its job is so old that only prod work may stop it: otherwise it might never complete.
     protected: bool = False
 
 
 def should_checkpoint(spec: JobSpec) -> bool:
-    """Whether a task that is stopped for more urgent work is to save first.
+    """Whether a task that is stopped for more urgent work writes a checkpoint first.
 
-    On average it loses half its interval if it does not, and keeps the room while it saves.
+    Without one it loses half of its checkpoint interval on average; with one it holds its capacity
+    until the checkpoint is written.
     """
     return (
         spec.checkpoint_interval_s > 0
-        and spec.checkpoint_duration_s < _SAVING_PART * spec.checkpoint_interval_s / 2
+        and spec.checkpoint_duration_s < _MAX_CHECKPOINT_COST_RATIO * spec.checkpoint_interval_s / 2
     )
 
 
 def may_preempt(
     job: Job, other: Job, guaranteed: bool, teams: Mapping[str, Team], usage: Mapping[str, Usage]
 ) -> bool:
-    """PROTOCOL, "Preemption": higher priority, or a guarantee against another team's surplus."""
+    """Whether a job may have an attempt of another one stopped (PROTOCOL, "Preemption").
+
+    It may if its priority is higher. If it is within its team's guarantee, it also may if the other
+    job's team keeps the CPUs of its own guarantee without the attempt.
+    """
     if other.rank > job.rank:
         return True
     if not guaranteed or other.spec.team == job.spec.team:
         return False
     team = teams.get(other.spec.team)
-    used = usage.get(other.spec.team, Usage())
-    return team is not None and used.cpus - other.cpus >= milli_floor(team.cpus)
+    other_usage = usage.get(other.spec.team, Usage())
+    return team is not None and other_usage.cpus - other.cpus >= milli_floor(team.cpus)
 
 
-class _Made(Struct):
-    """Room made for one task: whom to stop there."""
+class _Preemption(Struct):
+    """The capacity for one task, and the attempts to stop for it."""
 
-    room: FreeCapacity
+    capacity: FreeCapacity
     victims: list[Victim]
 
 
-class _Choice:
-    """Victims chosen so far, and what the machines and the teams would have without them."""
+class _VictimSelection:
+    """The victims chosen so far, and the capacity and usage that result from their preemption."""
 
     def __init__(
         self,
-        rooms: Iterable[FreeCapacity],
+        capacities: Iterable[FreeCapacity],
         running: Mapping[str, list[Victim]],
         teams: Mapping[str, Team],
         usage: Mapping[str, Usage],
     ) -> None:
         self._teams = teams
-        self._spare = {room.machine: structs.replace(room) for room in rooms}
-        # In order only on the machines that are looked at: most are passed over.
-        self._left = {machine: list(victims) for machine, victims in running.items()}
-        self._in_order: set[str] = set()
-        # At most this much could be freed on a machine: most are passed over by it.
+        self._capacities = {capacity.machine: structs.replace(capacity) for capacity in capacities}
+        # Sorted only for the machines in _sorted_machines: most machines are skipped unsorted.
+        self._running = {machine: list(victims) for machine, victims in running.items()}
+        self._sorted_machines: set[str] = set()
+        # Upper bounds of the CPU and memory that can be freed on a machine: they rule most out.
         self._freeable = {
             machine: (sum(v.job.cpus for v in victims), sum(v.job.memory for v in victims))
             for machine, victims in running.items()
         }
-        self._used = {name: Usage(u.cpus, u.gpus) for name, u in usage.items()}
+        self._usage = {name: Usage(u.cpus, u.gpus) for name, u in usage.items()}
         self.chosen: list[Victim] = []
-        self.looks = _MOST_LOOKS
+        self.scans_left = _MAX_SCANS
 
     def usage(self, team: str) -> Usage:
-        """What a team would take."""
-        return self._used.setdefault(team, Usage())
-
-    def make_room(self, job: Job, rule: ZoneRule, guaranteed: bool) -> _Made | None:
-        """Choose whom to stop for one more task of a job."""
-        self.looks -= 1
-        best: tuple[tuple[int, int, int], _Made] | None = None
-        for machine, room in self._spare.items():
+        """The usage of a team after the preemptions chosen so far."""
+        return self._usage.setdefault(team, Usage())
+
+    def preempt_for(self, job: Job, rule: ZoneRule, guaranteed: bool) -> _Preemption | None:
+        """Choose victims for one more task of a job; None if no machine can be made to fit it."""
+        self.scans_left -= 1
+        best: tuple[tuple[int, int, int], _Preemption] | None = None
+        for machine, capacity in self._capacities.items():
             cpus, memory = self._freeable.get(machine, (0, 0))
-            if room.cpus + cpus < job.cpus or room.memory + memory < job.memory:
+            if capacity.cpus + cpus < job.cpus or capacity.memory + memory < job.memory:
                 continue
-            if not room.allows(job) or not rule.allows(room.zone):
+            if not capacity.allows(job) or not rule.allows(capacity.zone):
                 continue
-            victims = self._in_order_on(machine)
-            picked = _fewest(job, room, victims, guaranteed, self._teams, self._used)
-            if picked is None:
+            running = self._sorted_victims(machine)
+            victims = _victims_on_machine(
+                job, capacity, running, guaranteed, self._teams, self._usage
+            )
+            if victims is None:
                 continue
             key = (
-                sum(1 for v in picked if v.job.spec.checkpoint_interval_s <= 0),
-                len(picked),
-                -max((v.job.rank for v in picked), default=3),
+                sum(1 for v in victims if v.job.spec.checkpoint_interval_s <= 0),
+                len(victims),
+                -max((v.job.rank for v in victims), default=IDLE_RANK),
             )
             if best is None or key < best[0]:
-                best = (key, _Made(room, picked))
-            if key == _NO_BETTER:
+                best = (key, _Preemption(capacity, victims))
+            if key == _BEST_POSSIBLE_KEY:
                 break
         if best is None:
             return None
-        made = best[1]
-        self._apply(job, made)
-        rule.add(made.room.zone)
-        return made
-
-    def _in_order_on(self, machine: str) -> list[Victim]:
-        """A machine's attempts: least urgent first; of those, what can save and the youngest."""
-        left = self._left.get(machine, [])
-        if machine not in self._in_order:
-            left.sort(key=_order)
-            self._in_order.add(machine)
-        return left
-
-    def _apply(self, job: Job, made: _Made) -> None:
-        machine = made.room.machine
-        for victim in made.victims:
-            made.room.allocate(victim.job, -1)
-            self._left[machine].remove(victim)
-            self._free(machine, victim.job, -1)
+        preemption = best[1]
+        self._apply(job, preemption)
+        rule.add(preemption.capacity.zone)
+        return preemption
+
+    def _sorted_victims(self, machine: str) -> list[Victim]:
+        """A machine's attempts: lowest priority first, then able to checkpoint, then youngest."""
+        running = self._running.get(machine, [])
+        if machine not in self._sorted_machines:
+            running.sort(key=_victim_sort_key)
+            self._sorted_machines.add(machine)
+        return running
+
+    def _apply(self, job: Job, preemption: _Preemption) -> None:
+        machine = preemption.capacity.machine
+        for victim in preemption.victims:
+            preemption.capacity.allocate(victim.job, -1)
+            self._running[machine].remove(victim)
+            self._adjust_freeable(machine, victim.job, -1)
             self.usage(victim.job.spec.team).add(victim.job, -1)
             self.chosen.append(structs.replace(victim, preempting_job=job.id))
-        made.room.allocate(job)
+        preemption.capacity.allocate(job)
         self.usage(job.spec.team).add(job)
 
-    def undo(self, job: Job, made: _Made) -> None:
-        """Take back the last choice."""
-        machine = made.room.machine
+    def undo(self, job: Job, preemption: _Preemption) -> None:
+        """Revert the last preemption."""
+        machine = preemption.capacity.machine
         self.usage(job.spec.team).add(job, -1)
-        made.room.allocate(job, -1)
-        for victim in made.victims:
+        preemption.capacity.allocate(job, -1)
+        for victim in preemption.victims:
             self.chosen.pop()
             self.usage(victim.job.spec.team).add(victim.job)
-            self._free(machine, victim.job, 1)
-            self._left[machine].append(victim)
-            made.room.allocate(victim.job)
-        if made.victims:
-            self._left[machine].sort(key=_order)
+            self._adjust_freeable(machine, victim.job, 1)
+            self._running[machine].append(victim)
+            preemption.capacity.allocate(victim.job)
+        if preemption.victims:
+            self._running[machine].sort(key=_victim_sort_key)
 
-    def _free(self, machine: str, job: Job, count: int) -> None:
+    def _adjust_freeable(self, machine: str, job: Job, count: int) -> None:
         cpus, memory = self._freeable[machine]
         self._freeable[machine] = (cpus + count * job.cpus, memory + count * job.memory)
 
 
-def _order(victim: Victim) -> tuple[int, bool, int]:
+def _victim_sort_key(victim: Victim) -> tuple[int, bool, int]:
     return (-victim.job.rank, victim.job.spec.checkpoint_interval_s <= 0, -victim.attempt.number)
 
 
 def choose_victims(
-    stuck: Iterable[tuple[Job, int]],
-    rooms: Iterable[FreeCapacity],
+    unschedulable: Iterable[tuple[Job, int]],
+    capacities: Iterable[FreeCapacity],
     running: Mapping[str, list[Victim]],
     teams: Mapping[str, Team],
     usage: Mapping[str, Usage],
-    zone_of: dict[str, str],
+    zones_by_machine: dict[str, str],
     max_victims: int,
 ) -> list[Victim]:
-    """Victims for tasks that found no room.
+    """Choose victims for tasks that found no capacity.
 
-    ``rooms`` must already count what earlier victims will free, or each round would stop more.
+    ``capacities`` must include what earlier victims will free, or each call would stop more.
     """
-    choice = _Choice(rooms, running, teams, usage)
-    for job, count in stuck:
+    selection = _VictimSelection(capacities, running, teams, usage)
+    for job, count in unschedulable:
         team = teams.get(job.spec.team)
-        rule = zone_rule(job, zone_of)
+        rule = zone_rule(job, zones_by_machine)
         if team is None or rule is None:
             continue
         if job.is_gang:
-            if len(choice.chosen) < max_victims and choice.looks >= job.spec.tasks:
-                _make_room_for_gang(choice, job, team)
+            if len(selection.chosen) < max_victims and selection.scans_left >= job.spec.tasks:
+                _preempt_for_gang(selection, job, team)
             continue
-        own = choice.usage(job.spec.team)
+        team_usage = selection.usage(job.spec.team)
         for _ in range(count):
-            if len(choice.chosen) >= max_victims or choice.looks <= 0:
+            if len(selection.chosen) >= max_victims or selection.scans_left <= 0:
                 break
-            if not fits_quota(team, own, job, against_limit=True):
+            if not fits_quota(team, team_usage, job, against_limit=True):
                 break
-            if choice.make_room(job, rule, fits_quota(team, own, job, against_limit=False)) is None:
+            if (
+                selection.preempt_for(
+                    job, rule, fits_quota(team, team_usage, job, against_limit=False)
+                )
+                is None
+            ):
                 break
-    return choice.chosen
+    return selection.chosen
 
 
-def _make_room_for_gang(choice: _Choice, job: Job, team: Team) -> None:
-    """Choose whom to stop for a whole gang; nobody if that would not make room for all of it."""
-    own = choice.usage(job.spec.team)
-    if not fits_quota(team, own, job, against_limit=True):
+def _preempt_for_gang(selection: _VictimSelection, job: Job, team: Team) -> None:
+    """Choose victims for a whole gang; none if not all of its tasks would then fit."""
+    team_usage = selection.usage(job.spec.team)
+    if not fits_quota(team, team_usage, job, against_limit=True):
         return
-    guaranteed = fits_quota(team, own, job, against_limit=False)
+    guaranteed = fits_quota(team, team_usage, job, against_limit=False)
     rule = new_zone_rule(job.spec)
-    made: list[_Made] = []
-    while len(made) < job.spec.tasks:
-        one = choice.make_room(job, rule, guaranteed)
-        if one is None:
-            for earlier in reversed(made):
-                choice.undo(job, earlier)
+    preemptions: list[_Preemption] = []
+    while len(preemptions) < job.spec.tasks:
+        preemption = selection.preempt_for(job, rule, guaranteed)
+        if preemption is None:
+            for earlier in reversed(preemptions):
+                selection.undo(job, earlier)
             return
-        made.append(one)
+        preemptions.append(preemption)
 
 
-def _fewest(
+def _victims_on_machine(
     job: Job,
-    room: FreeCapacity,
+    capacity: FreeCapacity,
     victims: list[Victim],
     guaranteed: bool,
     teams: Mapping[str, Team],
     usage: Mapping[str, Usage],
 ) -> list[Victim] | None:
-    """Victims on one machine, in their order, that make room for a task; None if they can't."""
-    cpus, gpus, memory = room.cpus, room.gpus, room.memory
-    picked: list[Victim] = []
+    """The first victims on a machine that free enough for a task; None if all don't suffice."""
+    cpus, gpus, memory = capacity.cpus, capacity.gpus, capacity.memory
+    chosen: list[Victim] = []
     for victim in (None, *victims):
         if victim is not None:
-            if victim.protected and job.rank > 0:
+            if victim.protected and job.rank > PROD_RANK:
                 continue
             if not may_preempt(job, victim.job, guaranteed, teams, usage):
                 continue
             cpus += victim.job.cpus
             gpus += victim.job.gpus
             memory += victim.job.memory
-            picked.append(victim)
+            chosen.append(victim)
         if cpus >= job.cpus and gpus >= job.gpus and memory >= job.memory:
-            return picked
+            return chosen
     return None
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -386,8 +386,8 @@
 def test_only_machines_that_are_looked_at_have_their_tasks_put_in_order(monkeypatch):
     """Sorting all that runs on 4,000 machines took a quarter of the leader's time."""
     ordered = []
-    order = preemption._order
-    monkeypatch.setattr(preemption, "_order", lambda v: ordered.append(v) or order(v))
+    order = preemption._victim_sort_key
+    monkeypatch.setattr(preemption, "_victim_sort_key", lambda v: ordered.append(v) or order(v))
     small = queued("j-000002", tasks=LARGE_FLEET, cpus=1.0, priority="idle")
     rooms, running = [], {}
     for index in range(LARGE_FLEET):
