--- a/mosswalk/placement/queues.py
+++ b/mosswalk/placement/queues.py
@@ -1,4 +1,4 @@
-"""A queue for each team, and the turns by which the teams are served."""
+"""A queue of jobs for each team, and the order in which the teams are served."""
 
 from __future__ import annotations
 
@@ -8,27 +8,31 @@
 
 from mosswalk.actors import to_us
 from mosswalk.config import Objective, Team
-from mosswalk.jobs.state import Job, Usage, milli_floor
+from mosswalk.jobs.state import HIGH_RANK, PROD_RANK, STANDARD_RANK, Job, Usage, milli_floor
 from mosswalk.placement.capacity import FreeCapacity, ZoneRule, best_capacity, zone_rule
 from mosswalk.placement.gangs import capacities_for_gang
 
-_UNTIMED_US = 600_000_000
-_MOMENT_US = 200_000
-# Idle work competes with standard work by its times after it has waited this long, and all work
-# comes before younger standard work after the second, begun or not: it must not be starved halfway.
-_AGING_US = 50_000_000
-_AGED_US = 300_000_000
-# A job that has not begun by then comes before all others but prod work; its team's freed limit
-# and claimed room are kept for it; by the last it comes before prod work too. The users want every
-# job begun within four minutes.
+# A job without targets is sorted as if its target were this long after it was submitted.
+_DEFAULT_TARGET_US = 600_000_000
+_SORT_KEY_VALID_US = 200_000
+# After waiting this long, an idle job ranks as a standard one.
+_IDLE_PROMOTION_US = 50_000_000
+# After this time every job ranks at least as a high one, started or not: a job that has started
+# must not be starved before it completes.
+_HIGH_PROMOTION_US = 300_000_000
+# A job that has not started after this time is overdue: it comes before all work but prod, and the
+# part of the team's limit that is freed and the capacity it claims are held for it.
 OVERDUE_US = 150_000_000
-_LAST_US = 200_000_000
+# After this time an overdue job comes before prod work too. Users expect every job to start within
+# four minutes.
+_OVERDUE_BEFORE_PROD_US = 200_000_000
+_BEFORE_PROD_RANK = -1
 
 
-def overdue(job: Job, wall_us: int) -> bool:
-    """Whether a job has waited so long to begin that others must make way."""
-    begun = job.record.live_count > 0 or job.record.done_count > 0
-    return not begun and wall_us - job.record.submitted_at_us > OVERDUE_US
+def is_overdue(job: Job, wall_us: int) -> bool:
+    """Whether a job has waited so long to start that it takes precedence over others."""
+    started = job.record.live_count > 0 or job.record.done_count > 0
+    return not started and wall_us - job.record.submitted_at_us > OVERDUE_US
 
 
 def is_protected(job: Job, wall_us: int) -> bool:
@@ -37,24 +41,24 @@
 
 
 class QueueOrder:
-    """The order of a team's queue: priority first, then what can still be in time.
+    """The order of a team's queue: by priority, then by the targets that can still be met.
 
-    A job that can't meet any of its times any more gives way to those that can: serving it first
-    would only make them late too. Its own times are its deadline and the aims for its class, by
-    when to be done and by when to begin.
+    A job that can't meet any of its targets any more comes after those that can, since placing it
+    first would make them late too. A job's targets are its deadline and the objectives of its
+    class, for when to be done and when to start.
     """
 
     def __init__(self, objectives: Iterable[Objective], teams: Iterable[Team] = ()) -> None:
-        self._limits = {team.name: milli_floor(team.cpus_max) for team in teams}
+        self._cpu_limits = {team.name: milli_floor(team.cpus_max) for team in teams}
         self._within_us: dict[tuple[str, str], list[int]] = {}
-        for aim in objectives:
-            if aim.job_class is not None and aim.within_s is not None:
-                key = (aim.kind, aim.job_class)
-                self._within_us.setdefault(key, []).append(to_us(aim.within_s))
-
-    def _ready_us(self, job: Job, wall_us: int) -> int:
-        """When the job could be done if it had all its team's limit from now on."""
-        limit = self._limits.get(job.spec.team, 0)
+        for objective in objectives:
+            if objective.job_class is not None and objective.within_s is not None:
+                key = (objective.kind, objective.job_class)
+                self._within_us.setdefault(key, []).append(to_us(objective.within_s))
+
+    def _earliest_done_at_us(self, job: Job, wall_us: int) -> int:
+        """When the job could be done if it used its team's whole CPU limit from now on."""
+        limit = self._cpu_limits.get(job.spec.team, 0)
         waves = 1.0
         if limit > 0 and job.cpus > 0:
             left = job.spec.tasks - job.record.done_count
@@ -62,51 +66,57 @@
         return wall_us + to_us(job.spec.estimate_s * waves)
 
     def target_at_us(self, job: Job, wall_us: int) -> int | None:
-        """The first of its times that the job can still meet."""
-        submitted_us, name = job.record.submitted_at_us, job.spec.job_class
-        ready_us = self._ready_us(job, wall_us)
-        times = [submitted_us + w for w in self._within_us.get(("finished", name), ())]
+        """The earliest target that the job can still meet, or None."""
+        submitted_at_us, name = job.record.submitted_at_us, job.spec.job_class
+        done_at_us = self._earliest_done_at_us(job, wall_us)
+        done_targets = [submitted_at_us + w for w in self._within_us.get(("finished", name), ())]
         if job.spec.deadline_s is not None:
-            times.append(job.deadline_at_us())
-        ends = [t for t in times if t >= ready_us]
-        begins = [submitted_us + w for w in self._within_us.get(("wait", name), ())]
-        return min((*ends, *(t for t in begins if t >= wall_us)), default=None)
+            done_targets.append(job.deadline_at_us())
+        reachable = [t for t in done_targets if t >= done_at_us]
+        start_targets = [submitted_at_us + w for w in self._within_us.get(("wait", name), ())]
+        return min((*reachable, *(t for t in start_targets if t >= wall_us)), default=None)
 
     def sort_key(self, job: Job, wall_us: int) -> tuple[int, bool, int, int, str]:
-        """Sorts a team's jobs; the same for a moment, as plans are made many times a second."""
-        moment = wall_us // _MOMENT_US
-        known = job.cached_queue_key
-        if known is None or known[0] is not self or known[1] != moment:
-            known = job.cached_queue_key = (self, moment, self._key(job, wall_us))
-        return known[2]
-
-    def _key(self, job: Job, wall_us: int) -> tuple[int, bool, int, int, str]:
-        submitted_us = job.record.submitted_at_us
-        target_us = self.target_at_us(job, wall_us)
+        """The sort key of a job in its team's queue.
+
+        It is cached for a short interval, as plans are made many times a second.
+        """
+        interval = wall_us // _SORT_KEY_VALID_US
+        cached = job.cached_queue_key
+        if cached is None or cached[0] is not self or cached[1] != interval:
+            cached = job.cached_queue_key = (self, interval, self._compute_sort_key(job, wall_us))
+        return cached[2]
+
+    def _compute_sort_key(self, job: Job, wall_us: int) -> tuple[int, bool, int, int, str]:
+        submitted_at_us = job.record.submitted_at_us
+        target_at_us = self.target_at_us(job, wall_us)
         name = job.spec.job_class
-        timed = job.spec.deadline_s is not None or any(
+        has_target = job.spec.deadline_s is not None or any(
             (kind, name) in self._within_us for kind in ("finished", "wait")
         )
-        late = timed and target_us is None
-        waited_us = wall_us - submitted_us
+        late = has_target and target_at_us is None
+        waited_us = wall_us - submitted_at_us
         rank = job.rank
-        if waited_us > _AGED_US:
-            rank = min(rank, 1)
-        elif waited_us > _AGING_US:
-            rank = min(rank, 2)
-        # What can no longer be in time gives way to what can, but not for ever.
+        if waited_us > _HIGH_PROMOTION_US:
+            rank = min(rank, HIGH_RANK)
+        elif waited_us > _IDLE_PROMOTION_US:
+            rank = min(rank, STANDARD_RANK)
+        # A job that is too late for its targets is postponed, but not forever.
         late = late and waited_us <= OVERDUE_US
-        # Work without a time of its own is neither hurried nor left behind for ever.
-        target_us = submitted_us + _UNTIMED_US if target_us is None else target_us
-        if overdue(job, wall_us):
-            # Behind prod work at first: a replica that waits costs more than a batch job's start.
-            rank = 1 if waited_us < _LAST_US else -1
-            return (rank, False, submitted_us, submitted_us, job.id)
-        return (rank, late, target_us, submitted_us, job.id)
+        # A job without a target is neither preferred nor postponed forever.
+        target_at_us = (
+            submitted_at_us + _DEFAULT_TARGET_US if target_at_us is None else target_at_us
+        )
+        if is_overdue(job, wall_us):
+            # After prod work at first: a waiting replica costs more than the late start of a batch
+            # job.
+            rank = HIGH_RANK if waited_us < _OVERDUE_BEFORE_PROD_US else _BEFORE_PROD_RANK
+            return (rank, False, submitted_at_us, submitted_at_us, job.id)
+        return (rank, late, target_at_us, submitted_at_us, job.id)
 
 
 def fits_quota(team: Team, usage: Usage, job: Job, *, against_limit: bool) -> bool:
-    """Whether one more task, or a whole gang, keeps the team within its limit or guarantee."""
+    """Whether one more task, or a whole gang, keeps the team within its limit or its guarantee."""
     cpus, gpus = (team.cpus_max, team.gpus_max) if against_limit else (team.cpus, team.gpus)
     cpus_after = usage.cpus + job.cpus * job.gang_size
     gpus_after = usage.gpus + job.gpus * job.gang_size
@@ -122,7 +132,7 @@
 
 
 def max_tasks_within_limit(team: Team, usage: Usage, job: Job, count: int) -> int:
-    """How many more of the job's tasks the team's limit lets run."""
+    """How many of ``count`` further tasks the team's limit allows; for a gang, all or none."""
     if team.cpus_max > 0 and job.cpus > 0:
         count = min(count, (milli_floor(team.cpus_max) - usage.cpus) // job.cpus)
     if team.gpus_max > 0 and job.gpus > 0:
@@ -131,157 +141,163 @@
 
 
 class Placement(Struct):
-    """One task put on one machine."""
+    """One task placed on one machine."""
 
     job: Job
     index: int
     capacity: FreeCapacity
 
     def task_capacities(self) -> list[tuple[int, FreeCapacity]]:
-        """Each task with its room."""
+        """The task's index with the capacity it is placed on."""
         return [(self.index, self.capacity)]
 
 
 class GangPlacement(Struct):
-    """All tasks of a gang, each put on a machine."""
+    """All tasks of a gang, each placed on a machine."""
 
     job: Job
     capacities: list[FreeCapacity]
 
     def task_capacities(self) -> list[tuple[int, FreeCapacity]]:
-        """Each task with its room."""
+        """Each task's index with the capacity it is placed on."""
         return list(enumerate(self.capacities))
 
 
 class TeamQueue:
-    """A team's jobs in order; gives one placing at a time until nothing more fits."""
+    """A team's jobs with pending tasks, in order; makes one placement at a time."""
 
     def __init__(
         self,
         team: Team,
         jobs: Iterable[Job],
         usage: Usage,
-        zone_of: dict[str, str],
-        avoid: Mapping[str, set[str]],
-        held: Mapping[str, object],
-        urgency: QueueOrder,
+        zones_by_machine: dict[str, str],
+        avoided_machines: Mapping[str, set[str]],
+        delayed_jobs: Mapping[str, object],
+        queue_order: QueueOrder,
         wall_us: int,
     ) -> None:
         self.team = team
         self.usage = Usage(usage.cpus, usage.gpus)
-        self._zone_of = zone_of
-        self._avoid = avoid
+        self._zones_by_machine = zones_by_machine
+        self._avoided_machines = avoided_machines
         self._wall_us = wall_us
         self._jobs = sorted(
-            (j for j in jobs if j.open and j.pending_count() > 0 and j.id not in held),
-            key=lambda job: urgency.sort_key(job, wall_us),
+            (j for j in jobs if j.open and j.pending_count() > 0 and j.id not in delayed_jobs),
+            key=lambda job: queue_order.sort_key(job, wall_us),
         )
-        self._at = 0
+        self._position = 0
         self._pending: Iterator[int] | None = None
-        self._next: int | None = None
-        self._rule: ZoneRule | None = None
-        # Where the head's last task went: while it holds the next one too, it is still best.
-        self._last: FreeCapacity | None = None
-        # Jobs whose next task found no room, for the factory and for preemption.
+        self._next_task: int | None = None
+        self._zone_rule: ZoneRule | None = None
+        # Where the head's last task was placed. While the next one fits, it is still best.
+        self._last_capacity: FreeCapacity | None = None
+        # Jobs whose next task found no capacity, for the factory and for preemption.
         self.unschedulable: list[Job] = []
 
     def head(self) -> Job | None:
-        """The job whose task comes next."""
-        return self._jobs[self._at] if self._at < len(self._jobs) else None
+        """The job whose task is placed next."""
+        return self._jobs[self._position] if self._position < len(self._jobs) else None
 
     def is_overdue(self, job: Job) -> bool:
-        """Whether others must make way for a job."""
-        return overdue(job, self._wall_us)
+        """Whether a job takes precedence because it has waited too long to start."""
+        return is_overdue(job, self._wall_us)
 
     def min_request(self) -> tuple[int, int] | None:
-        """The least cores and memory that any task of the queue asks for."""
+        """The lowest CPU and the lowest memory request of any task in the queue."""
         if not self._jobs:
             return None
         return min(j.cpus for j in self._jobs), min(j.memory for j in self._jobs)
 
-    def _skip(self) -> None:
-        self._at += 1
-        self._pending = self._rule = self._last = None
-
-    def _find(self, job: Job, rooms: Iterable[FreeCapacity], rule: ZoneRule) -> FreeCapacity | None:
-        last = self._last
-        if last is not None and last.fits(job):
-            return last
-        found = best_capacity(job, rooms, rule, self._avoid.get(job.id, set()))
-        # Its image is at hand there now and the fit is tighter, so nothing beats it. Replicas
-        # and zone-bound tasks are looked at one by one.
-        plain = job.spec.kind == "array" and not job.spec.spread and not job.spec.one_zone
-        self._last = found if plain else None
+    def _next_job(self) -> None:
+        self._position += 1
+        self._pending = self._zone_rule = self._last_capacity = None
+
+    def _find_capacity(
+        self, job: Job, capacities: Iterable[FreeCapacity], rule: ZoneRule
+    ) -> FreeCapacity | None:
+        last_capacity = self._last_capacity
+        if last_capacity is not None and last_capacity.fits(job):
+            return last_capacity
+        found = best_capacity(job, capacities, rule, self._avoided_machines.get(job.id, set()))
+        # The image is cached there now and the fit is tighter, so no machine is better. Replicas
+        # and tasks with zone requirements are considered one by one.
+        independent = job.spec.kind == "array" and not job.spec.spread and not job.spec.one_zone
+        self._last_capacity = found if independent else None
         return found
 
-    def _place_gang(self, job: Job, rooms: list[FreeCapacity]) -> GangPlacement | None:
-        found = capacities_for_gang(job, rooms, self._avoid.get(job.id, set()))
-        if found is None:
+    def _place_gang(self, job: Job, capacities: list[FreeCapacity]) -> GangPlacement | None:
+        chosen = capacities_for_gang(job, capacities, self._avoided_machines.get(job.id, set()))
+        if chosen is None:
             return None
-        for room in found:
-            room.allocate(job)
+        for capacity in chosen:
+            capacity.allocate(job)
             self.usage.add(job)
-        return GangPlacement(job, found)
+        return GangPlacement(job, chosen)
 
-    def place_next(self, rooms: list[FreeCapacity]) -> Placement | GangPlacement | None:
-        """Place the next task or gang that fits, taking its room; None when none does."""
+    def place_next(self, capacities: list[FreeCapacity]) -> Placement | GangPlacement | None:
+        """Place the next task or gang that fits and allocate its capacity; None if none fits."""
         while (job := self.head()) is not None:
             if not fits_quota(self.team, self.usage, job, against_limit=True):
-                # Held back by the limit, not by room: no reason to rent or preempt.
+                # Blocked by the limit, not by capacity: no reason to rent or preempt.
                 if self.is_overdue(job):
-                    # Smaller tasks would take each bit of the limit that comes free.
-                    self._at = len(self._jobs)
+                    # Stop here: smaller tasks would use each part of the limit that becomes free.
+                    self._position = len(self._jobs)
                     return None
-                self._skip()
+                self._next_job()
                 continue
             if job.is_gang:
-                gang = self._place_gang(job, rooms)
+                gang = self._place_gang(job, capacities)
                 if gang is None:
                     self.unschedulable.append(job)
-                self._skip()
+                self._next_job()
                 if gang is None:
                     continue
                 return gang
-            if self._rule is None:
-                self._rule = zone_rule(job, self._zone_of)
-                if self._rule is None:
-                    # The zone of an attempt is unknown: nothing safe to do for this job.
-                    self._skip()
+            if self._zone_rule is None:
+                self._zone_rule = zone_rule(job, self._zones_by_machine)
+                if self._zone_rule is None:
+                    # The zone of an attempt is unknown: a placement might break the zone rule.
+                    self._next_job()
                     continue
-            if self._pending is not None and self._next is None:
-                self._skip()
+            if self._pending is not None and self._next_task is None:
+                self._next_job()
                 continue
-            room = self._find(job, rooms, self._rule)
-            if room is None:
+            capacity = self._find_capacity(job, capacities, self._zone_rule)
+            if capacity is None:
                 self.unschedulable.append(job)
-                self._skip()
+                self._next_job()
                 continue
             if self._pending is None:
-                # Only now: most jobs that wait find no room, and this walks their tasks.
+                # This iterates over tasks, so it comes last: most waiting jobs find no capacity.
                 self._pending = job.pending_tasks()
-                self._next = next(self._pending, None)
-                if self._next is None:
-                    self._skip()
+                self._next_task = next(self._pending, None)
+                if self._next_task is None:
+                    self._next_job()
                     continue
-            assert self._next is not None
-            placing = Placement(job, self._next, room)
-            room.allocate(job)
-            self._rule.add(room.zone)
+            assert self._next_task is not None
+            placement = Placement(job, self._next_task, capacity)
+            capacity.allocate(job)
+            self._zone_rule.add(capacity.zone)
             self.usage.add(job)
-            self._next = next(self._pending, None)
-            return placing
+            self._next_task = next(self._pending, None)
+            return placement
         return None
 
 
-def turn_key(queue: TeamQueue, share: float) -> tuple[int, int, float, str]:
-    """Who comes next: the overdue, guarantees, priority, then the least used by share."""
+def team_sort_key(queue: TeamQueue, share: float) -> tuple[int, int, float, str]:
+    """The order in which teams are served.
+
+    Teams whose next job is overdue come first, then those whose next job is prod work or within the
+    guarantee. Among these priority counts, then the lowest usage relative to the team's share.
+    """
     head = queue.head()
     assert head is not None
     if queue.is_overdue(head):
         return (-1, head.rank, queue.usage.cpus / share, queue.team.name)
     guaranteed = fits_quota(queue.team, queue.usage, head, against_limit=False)
     return (
-        0 if guaranteed or head.rank == 0 else 1,
+        0 if guaranteed or head.rank == PROD_RANK else 1,
         head.rank,
         queue.usage.cpus / share,
         queue.team.name,
@@ -289,18 +305,20 @@
 
 
 def place_across_teams(
-    queues: Iterable[TeamQueue], rooms: list[FreeCapacity], shares: Mapping[str, float]
+    queues: Iterable[TeamQueue], capacities: list[FreeCapacity], shares: Mapping[str, float]
 ) -> Iterator[Placement | GangPlacement]:
-    """Give one placing at a time to the team whose turn it is."""
+    """Make placements one at a time, each for the team that is first in order at that time."""
     waiting = [queue for queue in queues if queue.head() is not None]
-    needs = [need for queue in waiting if (need := queue.min_request()) is not None]
-    if needs:
-        # When there is more work than room, nearly all rooms are full.
-        cpus, memory = min(n[0] for n in needs), min(n[1] for n in needs)
-        rooms = [r for r in rooms if r.cpus >= cpus and r.memory >= memory]
+    min_requests = [
+        min_request for queue in waiting if (min_request := queue.min_request()) is not None
+    ]
+    if min_requests:
+        # Machines too full for any task are dropped: with more work than capacity, nearly all are.
+        cpus, memory = min(r[0] for r in min_requests), min(r[1] for r in min_requests)
+        capacities = [c for c in capacities if c.cpus >= cpus and c.memory >= memory]
     while waiting:
-        queue = min(waiting, key=lambda q: turn_key(q, shares.get(q.team.name, 1.0)))
-        placing = queue.place_next(rooms)
-        if placing is not None:
-            yield placing
-        waiting = [q for q in waiting if q.head() is not None and (q is not queue or placing)]
+        queue = min(waiting, key=lambda q: team_sort_key(q, shares.get(q.team.name, 1.0)))
+        placement = queue.place_next(capacities)
+        if placement is not None:
+            yield placement
+        waiting = [q for q in waiting if q.head() is not None and (q is not queue or placement)]
