--- a/mosswalk/placement/owner.py
+++ b/mosswalk/placement/owner.py
@@ -1,8 +1,9 @@
-"""The team owner: queues and places its teams' tasks, and writes what became of them.
+"""The team owner: queues and places its teams' tasks, and records the outcomes of attempts.
 
-One round at a time: it takes the outcomes and offers that have come in, turns each job's into
-one change and waits until every change is decided. So a job never has two changes under way,
-and quota, spread and one-zone are judged on what is committed or being committed here alone.
+It works in rounds. A round takes the outcomes and offers received since the last one, makes one
+change per job from them and waits until all changes are committed or have failed. So a job never
+has two changes in progress, and quota, spread and one-zone rules are checked against what is
+committed or being committed by this owner alone.
 """
 
 from __future__ import annotations
@@ -15,7 +16,15 @@
 from mosswalk.config import Settings, Team
 from mosswalk.jobs.layout import needs_split, split_records
 from mosswalk.jobs.registry import JobRegistry
-from mosswalk.jobs.state import Assignment, Draft, Job, Usage, parse_task_name, record_limits
+from mosswalk.jobs.state import (
+    PROD_RANK,
+    Assignment,
+    Draft,
+    Job,
+    Usage,
+    parse_task_name,
+    record_limits,
+)
 from mosswalk.leadership.actor import Leadership
 from mosswalk.placement.capacity import FreeCapacity, capacity_from_offer
 from mosswalk.placement.failure_backoff import FailureBackoff
@@ -28,21 +37,24 @@
 
 log = logging.getLogger(__name__)
 
-# While writes are scarce, completed tasks of a job that goes on are gathered this long: each
-# change to a job costs a write, however many of its tasks it is about.
-_GATHER_US = 2 * SECOND_US
-# How long the outcomes of a hurried round may take to be written.
-_ROUND_S = 0.8
-_LEAST_IN_ROUND = 8
-# A gang's tasks are reported done within about this long of one another.
-_GANG_GATHER_US = 700_000
-# How often jobs are searched for records that are too large, and how many are split at once.
-_SEARCH_US = SECOND_US
-_MOST_SPLIT = 4
+# While the write rate is exhausted, outcomes of completed tasks are deferred for up to this time if
+# their job continues: a change of a job costs the same for one task as for many.
+_MAX_DEFERRAL_US = 2 * SECOND_US
+# How long it may take to write the outcomes of a round that is limited in favour of prod work, and
+# how many jobs such a round changes at least.
+_LIMITED_ROUND_WRITE_S = 0.8
+_MIN_JOBS_PER_ROUND = 8
+# The tasks of a gang are reported done within about this time of each other.
+_MAX_GANG_DEFERRAL_US = 700_000
+# How often jobs are checked for records that are too large, and how many are split at once.
+_SPLIT_CHECK_INTERVAL_US = SECOND_US
+_MAX_CONCURRENT_SPLITS = 4
+_ERROR_RETRY_S = 0.2
+_NO_JOB_LIMIT = 1 << 30
 
 
 class Owner:
-    """Places for the teams this controller owns in the current term."""
+    """Places tasks of the teams that this controller owns in the current term."""
 
     def __init__(
         self,
@@ -60,110 +72,113 @@
         self._clock = clock
         self._limits = record_limits(settings.params.state)
         self._write_rps = settings.params.state.write_rps
-        self._max_outcome_jobs = _LEAST_IN_ROUND
-        self._urgency = QueueOrder(settings.params.objectives, settings.params.teams)
+        self._max_outcome_jobs = _MIN_JOBS_PER_ROUND
+        self._queue_order = QueueOrder(settings.params.objectives, settings.params.teams)
         self._teams = {team.name: team for team in settings.params.teams}
         self._outcomes: dict[tuple[str, int], Outcome] = {}
-        # Since when completed tasks of a job wait to be written.
-        self._gathered: dict[str, int] = {}
+        # Since when outcomes of a job are deferred, by job.
+        self._deferred_since_us: dict[str, int] = {}
         self._offers: list[tuple[Offer, asyncio.Future[OfferAnswer]]] = []
         self._wake = asyncio.Event()
-        # Jobs whose records are to be split before anything else is written to them.
-        self._too_coarse: set[str] = set()
-        self._searched_us = 0
+        # Jobs whose records must be split before anything else is written to them.
+        self._jobs_to_split: set[str] = set()
+        self._split_checked_at_us = 0
         self._failures = FailureBackoff()
 
-    # What others tell it.
+    # Messages from the leader.
 
     def receive_outcomes(self, message: Outcomes) -> None:
-        """Outcomes of attempts; repeated by the leader until the records show them."""
+        """Accept outcomes of attempts, which the leader repeats until the records show them."""
         for outcome in message.outcomes:
             self._outcomes[(outcome.task, outcome.attempt)] = outcome
         if message.outcomes:
             self._wake.set()
 
     async def receive_offer(self, message: Offer) -> OfferAnswer:
-        """Room for tasks; answered once what was placed is committed."""
+        """Place tasks on the offered capacity; returns once the placements are committed."""
         future: asyncio.Future[OfferAnswer] = asyncio.get_running_loop().create_future()
         self._offers.append((message, future))
         self._wake.set()
         return await future
 
     async def run(self) -> None:
-        """Rounds for ever."""
+        """Run a round whenever there is something to do, forever."""
         while True:
             await self._wake.wait()
             self._wake.clear()
             offers, self._offers = self._offers, []
             try:
-                await self._round(offers)
+                await self._run_round(offers)
             except Exception:
-                log.exception("a placing round failed")
-                await asyncio.sleep(0.2)
+                log.exception("placement round failed")
+                await asyncio.sleep(_ERROR_RETRY_S)
             for _, future in offers:
                 if not future.done():
                     future.set_result(OfferAnswer(self._mirror.revision, 0))
-            self._forget()
+            self._discard_closed_jobs()
 
-    # One round.
-
-    async def _round(self, offers: list[tuple[Offer, asyncio.Future[OfferAnswer]]]) -> None:
+    async def _run_round(self, offers: list[tuple[Offer, asyncio.Future[OfferAnswer]]]) -> None:
         term = self._leadership.term
         if term is None:
             self._outcomes.clear()
             return
-        # Writes are counted over all controllers, so owners take equal parts of them.
-        part = 1.0 / max(1, len(set(term.owners.values())))
-        self._writer.set_rate_share(part)
-        self._max_outcome_jobs = max(_LEAST_IN_ROUND, int(self._write_rps * part * _ROUND_S))
+        # The write rate is limited for all controllers together: each owner takes an equal share.
+        rate_share = 1.0 / max(1, len(set(term.owners.values())))
+        self._writer.set_rate_share(rate_share)
+        self._max_outcome_jobs = max(
+            _MIN_JOBS_PER_ROUND, int(self._write_rps * rate_share * _LIMITED_ROUND_WRITE_S)
+        )
         await self._split_records()
         drafts: dict[str, Draft] = {}
         self._end_partly_placed_gangs(drafts)
         self._apply_outcomes(drafts)
         for job in self._registry.withdrawn.values():
-            # One whose last attempt went while it was being withdrawn.
+            # The last attempt ended while the job was being withdrawn, so only closing it is left.
             if (
                 job.record.live_count == 0
                 and job.id not in drafts
                 and self._leadership.owns(job.spec.team)
             ):
                 drafts[job.id] = Draft(job, self._limits)
-        unwritten: dict[str, list[Assignment]] = {}
-        placed_for: list[tuple[asyncio.Future[OfferAnswer], int]] = []
+        remaining_assignments: dict[str, list[Assignment]] = {}
+        answers: list[tuple[asyncio.Future[OfferAnswer], int]] = []
         usage = self._registry.usage()
-        zones: dict[str, str] = {}
+        zones_by_machine: dict[str, str] = {}
         for offer, _ in offers:
-            zones.update(offer.machine_zones)
+            zones_by_machine.update(offer.machine_zones)
         for offer, future in offers:
             placed = 0
             if offer.term == term.term:
-                for slots in offer.teams:
-                    for slot in slots.machines:
-                        zones[slot.machine] = slot.zone
-                for slots in offer.teams:
-                    if self._leadership.owns(slots.team) and slots.team in self._teams:
-                        rooms = [capacity_from_offer(slot) for slot in slots.machines]
+                for team_offer in offer.teams:
+                    for machine_offer in team_offer.machines:
+                        zones_by_machine[machine_offer.machine] = machine_offer.zone
+                for team_offer in offer.teams:
+                    if self._leadership.owns(team_offer.team) and team_offer.team in self._teams:
+                        capacities = [capacity_from_offer(m) for m in team_offer.machines]
                         placed += self._place_team(
-                            self._teams[slots.team],
-                            rooms,
+                            self._teams[team_offer.team],
+                            capacities,
                             usage,
-                            zones,
+                            zones_by_machine,
                             drafts,
-                            unwritten,
+                            remaining_assignments,
                             term.term,
                         )
-            placed_for.append((future, placed))
+            answers.append((future, placed))
         guards = {records.TERM_KEY: self._leadership.term_version}
         changes = [d.to_change(guards) for d in drafts.values() if d.has_changes()]
         revisions = await asyncio.gather(*(self._commit(c) for c in changes))
         revisions += await asyncio.gather(
-            *(self._write_rest(job_id, left, term.term) for job_id, left in unwritten.items())
+            *(
+                self._write_remaining(job_id, remaining, term.term)
+                for job_id, remaining in remaining_assignments.items()
+            )
         )
         self._mirror.notify_batch_applied()
-        highest = max((r for r in revisions if r is not None), default=self._mirror.revision)
-        for future, placed in placed_for:
+        revision = max((r for r in revisions if r is not None), default=self._mirror.revision)
+        for future, placed in answers:
             if not future.done():
-                future.set_result(OfferAnswer(highest, placed))
+                future.set_result(OfferAnswer(revision, placed))
         for draft in drafts.values():
             for attempt in draft.placed:
                 log.info(
@@ -175,68 +190,74 @@
                 )
 
     async def _split_records(self) -> None:
-        """Split what the state service would not take again; nothing else is written before."""
+        """Split records that the state service would reject, before anything else is written."""
         if not self._leadership.gangs_allowed():
-            # The other version could not read it. Limits are lowered after the upgrade only.
+            # Controllers of the first version can't read split records. The limits are lowered only
+            # after the upgrade.
             return
         now_us = self._clock.now_us()
-        if now_us - self._searched_us >= _SEARCH_US:
-            self._searched_us = now_us
-            self._too_coarse = {
+        if now_us - self._split_checked_at_us >= _SPLIT_CHECK_INTERVAL_US:
+            self._split_checked_at_us = now_us
+            self._jobs_to_split = {
                 job.id for job in self._registry.jobs.values() if needs_split(job, self._limits)
             }
         jobs = [
             job
-            for job_id in sorted(self._too_coarse)
+            for job_id in sorted(self._jobs_to_split)
             if (job := self._registry.jobs.get(job_id)) is not None
             and self._leadership.owns(job.spec.team)
             and needs_split(job, self._limits)
         ]
-        await asyncio.gather(*(self._split(job) for job in jobs[:_MOST_SPLIT]))
+        await asyncio.gather(*(self._split_job(job) for job in jobs[:_MAX_CONCURRENT_SPLITS]))
 
-    async def _split(self, job: Job) -> None:
+    async def _split_job(self, job: Job) -> None:
         guards = {
             records.TERM_KEY: self._leadership.term_version,
             records.job_key(job.id): job.version,
         }
-        found = split_records(job, self._limits)
-        for change in found.changes(guards, self._limits.txn_ops):
+        split = split_records(job, self._limits)
+        for change in split.changes(guards, self._limits.txn_ops):
             if await self._commit(change) is None:
                 return
-        log.info("%s split into records of %d tasks", job.id, found.header.chunk_size)
+        log.info("%s split into records of %d tasks", job.id, split.header.chunk_size)
 
-    def _is_too_coarse(self, job: Job) -> bool:
+    def _must_split_first(self, job: Job) -> bool:
         """Whether a job's records must be split before they are written again."""
         if not self._leadership.gangs_allowed() or not needs_split(job, self._limits):
             return False
-        self._too_coarse.add(job.id)
+        self._jobs_to_split.add(job.id)
         self._wake.set()
         return True
 
     def _end_partly_placed_gangs(self, drafts: dict[str, Draft]) -> None:
-        """End gangs' attempts of which only a part was written.
+        """End the attempts of gangs of which only a part was recorded.
 
-        A round waits for all its commits, so whoever was writing the rest has failed or is gone.
+        A round waits for all its commits, so the owner that was recording the rest has failed or
+        is gone.
         """
         for job in self._registry.gangs.values():
             if job.record.gang_phase == "placing" and self._leadership.owns(job.spec.team):
                 log.info(
-                    "%s: attempt given up, only %d tasks placed", job.id, job.record.live_count
+                    "%s: ending gang attempt, only %d tasks were placed",
+                    job.id,
+                    job.record.live_count,
                 )
                 drafts[job.id] = Draft(job, self._limits)
                 drafts[job.id].end_gang()
 
-    async def _write_rest(self, job_id: str, left: list[Assignment], term: int) -> int | None:
-        """Write what of a gang's attempt did not fit its first commit."""
+    async def _write_remaining(
+        self, job_id: str, remaining: list[Assignment], term: int
+    ) -> int | None:
+        """Commit the part of a gang's attempt that did not fit its first transaction."""
         revision: int | None = None
-        while left:
+        while remaining:
             job = self._registry.jobs.get(job_id)
             if job is None or job.record.gang_phase != "placing" or not job.open:
                 break
             draft = Draft(job, self._limits)
-            before = len(left)
-            left = draft.place_gang(left, term)
-            if len(left) == before:
+            previous_count = len(remaining)
+            remaining = draft.place_gang(remaining, term)
+            if len(remaining) == previous_count:
                 break
             revision = await self._commit(
                 draft.to_change({records.TERM_KEY: self._leadership.term_version})
@@ -245,69 +266,74 @@
                 break
         return revision
 
-    def _may_wait(self, job: Job, outcomes: list[tuple[int, int, Outcome]]) -> bool:
-        """Whether a job's outcomes may be written later, together with others to come.
+    def _can_defer(self, job: Job, outcomes: list[tuple[int, int, Outcome]]) -> bool:
+        """Whether a job's outcomes may be written later, together with further ones.
 
-        Not when the job ends by them, or when a task has to be placed again.
+        They may not if they complete the job, or if a task has to be placed again.
         """
         if any(outcome.kind != "done" for _, _, outcome in outcomes):
             return False
         if job.is_gang and job.record.phase == "open":
-            # Its tasks complete together, so the others' reports are on their way.
+            # Its tasks complete together, so the outcomes of the others are about to arrive.
             if len(outcomes) >= job.record.live_count:
                 return False
             now_us = self._clock.now_us()
-            return now_us - self._gathered.setdefault(job.id, now_us) < _GANG_GATHER_US
+            return (
+                now_us - self._deferred_since_us.setdefault(job.id, now_us) < _MAX_GANG_DEFERRAL_US
+            )
         if not job.open:
             return False
         if job.record.done_count + len(outcomes) >= job.spec.tasks or self._writer.has_spare_rate():
             return False
         now_us = self._clock.now_us()
-        return now_us - self._gathered.setdefault(job.id, now_us) < _GATHER_US
+        return now_us - self._deferred_since_us.setdefault(job.id, now_us) < _MAX_DEFERRAL_US
 
     def _apply_outcomes(self, drafts: dict[str, Draft]) -> None:
         outcomes, self._outcomes = self._outcomes, {}
         by_job: dict[str, list[tuple[int, int, Outcome]]] = {}
         for (task, number), outcome in outcomes.items():
-            split = parse_task_name(task)
-            job = self._registry.jobs.get(split[0]) if split is not None else None
-            if split is None or job is None or not self._leadership.owns(job.spec.team):
+            parsed = parse_task_name(task)
+            job = self._registry.jobs.get(parsed[0]) if parsed is not None else None
+            if parsed is None or job is None or not self._leadership.owns(job.spec.team):
                 continue
-            attempt = job.find_attempt(split[1], number)
+            attempt = job.find_attempt(parsed[1], number)
             if attempt is None or attempt.machine != outcome.machine:
                 continue
-            by_job.setdefault(job.id, []).append((split[1], number, outcome))
-        # A round waits for all its changes. While replicas are down it takes no more than can be
-        # written in a moment: after a cut they waited 10 s for arrays' outcomes. At other times
-        # it takes all there are: with a slow state service, short rounds get less done.
-        hurried = self._hurried(by_job)
-        # Prod first, the others as they came: by rank, idle jobs' ends were written last of all
-        # for as long as a burst of standard work lasted.
-        prod_first = sorted(by_job.items(), key=lambda item: self._registry.jobs[item[0]].rank > 0)
-        for job_id, found in prod_first:
+            by_job.setdefault(job.id, []).append((parsed[1], number, outcome))
+        # A round waits for all its changes. While prod work waits, a round takes only as many
+        # outcomes as can be written quickly: after a network partition, replicas waited 10 s for
+        # the outcomes of arrays. Otherwise it takes all of them: with a slow state service, short
+        # rounds get less done.
+        limited = self._has_prod_work(by_job)
+        # Prod jobs come first, the others in order of arrival. Sorted by priority, the outcomes of
+        # idle jobs were written last for as long as a burst of standard work went on.
+        prod_first = sorted(
+            by_job.items(), key=lambda item: self._registry.jobs[item[0]].rank > PROD_RANK
+        )
+        for job_id, job_outcomes in prod_first:
             job = self._registry.jobs[job_id]
-            full = hurried and len(drafts) >= self._max_outcome_jobs
-            if full or self._may_wait(job, found) or self._is_too_coarse(job):
-                self._outcomes.update({(o.task, number): o for _, number, o in found})
-                if full:
+            over_limit = limited and len(drafts) >= self._max_outcome_jobs
+            if over_limit or self._can_defer(job, job_outcomes) or self._must_split_first(job):
+                self._outcomes.update({(o.task, number): o for _, number, o in job_outcomes})
+                if over_limit:
                     self._wake.set()
                 continue
-            self._gathered.pop(job_id, None)
+            self._deferred_since_us.pop(job_id, None)
             draft = drafts.setdefault(job_id, Draft(job, self._limits))
-            for index, number, outcome in found:
+            for index, number, outcome in job_outcomes:
                 if not draft.record_outcome(index, number, outcome.kind):
-                    # Too many chunks for one commit: the leader will tell us again.
+                    # Too many chunks for one transaction: the leader repeats the outcome later.
                     continue
                 log.info(
                     "%s attempt %d on %s: %s", outcome.task, number, outcome.machine, outcome.kind
                 )
                 self._failures.record_outcome(job_id, outcome, self._clock.now_us())
 
-    def _hurried(self, ended: Iterable[str]) -> bool:
-        """Whether replicas of ours have just ended or wait for a place."""
+    def _has_prod_work(self, job_ids: Iterable[str]) -> bool:
+        """Whether one of these jobs is prod work, or prod tasks of this owner wait to be placed."""
         jobs = self._registry.jobs
-        return any(jobs[job_id].rank == 0 for job_id in ended) or any(
-            job.rank == 0
+        return any(jobs[job_id].rank == PROD_RANK for job_id in job_ids) or any(
+            job.rank == PROD_RANK
             for team, unplaced in self._registry.unplaced.items()
             if self._leadership.owns(team)
             for job in unplaced.values()
@@ -316,48 +342,49 @@
     def _place_team(
         self,
         team: Team,
-        rooms: list[FreeCapacity],
+        capacities: list[FreeCapacity],
         usage: dict[str, Usage],
-        zones: dict[str, str],
+        zones_by_machine: dict[str, str],
         drafts: dict[str, Draft],
-        unwritten: dict[str, list[Assignment]],
+        remaining_assignments: dict[str, list[Assignment]],
         term: int,
     ) -> int:
-        held = self._failures.delayed_jobs(self._clock.now_us())
-        own = usage.setdefault(team.name, Usage())
+        delayed_jobs = self._failures.delayed_jobs(self._clock.now_us())
+        team_usage = usage.setdefault(team.name, Usage())
         jobs = [
             job
             for job in self._registry.unplaced.get(team.name, {}).values()
-            if job.id not in drafts and not self._is_too_coarse(job)
+            if job.id not in drafts and not self._must_split_first(job)
         ]
         queue = TeamQueue(
             team,
             jobs,
-            own,
-            zones,
+            team_usage,
+            zones_by_machine,
             self._failures.avoided_machines,
-            held,
-            self._urgency,
+            delayed_jobs,
+            self._queue_order,
             self._clock.wall_us(),
         )
         placed = 0
-        # What is placed may take a round as long again, with the most urgent coming first anyway.
-        most = 2 * self._max_outcome_jobs if self._hurried(()) else 1 << 30
-        while len(drafts) < most and (placing := queue.place_next(rooms)) is not None:
-            draft = drafts.get(placing.job.id)
+        # Placements may take as long to write as the outcomes, as the most urgent ones come first.
+        max_jobs = 2 * self._max_outcome_jobs if self._has_prod_work(()) else _NO_JOB_LIMIT
+        while len(drafts) < max_jobs and (placement := queue.place_next(capacities)) is not None:
+            draft = drafts.get(placement.job.id)
             if draft is None:
-                draft = drafts[placing.job.id] = Draft(placing.job, self._limits)
-            places = [
-                Assignment(i, room.machine, room.session) for i, room in placing.task_capacities()
+                draft = drafts[placement.job.id] = Draft(placement.job, self._limits)
+            assignments = [
+                Assignment(i, capacity.machine, capacity.session)
+                for i, capacity in placement.task_capacities()
             ]
-            if placing.job.is_gang:
-                left = draft.place_gang(places, term)
-                if left:
-                    unwritten[placing.job.id] = left
-                placed += len(places)
-            elif draft.place(places[0], term) is not None:
+            if placement.job.is_gang:
+                remaining = draft.place_gang(assignments, term)
+                if remaining:
+                    remaining_assignments[placement.job.id] = remaining
+                placed += len(assignments)
+            elif draft.place(assignments[0], term) is not None:
                 placed += 1
-        # Attempts settled in this round still count: their room shows in the next one.
+        # Attempts that end in this round still count; the next round's usage is without them.
         usage[team.name] = queue.usage
         return placed
 
@@ -365,21 +392,21 @@
         try:
             revision = await self._writer.commit(change)
         except ConflictError as conflict:
-            log.info("placing commit: %s", conflict)
+            log.info("placement commit failed: %s", conflict)
             keys = [k for k in conflict.failed if not k.startswith(records.FINAL_PREFIX)]
             try:
                 await self._mirror.refresh(keys)
             except (RefusedError, UnknownOutcomeError):
-                log.debug("refresh after a conflict failed; the watch will tell")
+                log.debug("refresh after a conflict failed; waiting for the watch")
             return None
         except (RefusedError, UnknownOutcomeError) as error:
-            log.info("placing commit given up: %s", error)
+            log.info("placement commit abandoned: %s", error)
             return None
         self._mirror.apply_change(change, revision)
         return revision
 
-    def _forget(self) -> None:
+    def _discard_closed_jobs(self) -> None:
         jobs = self._registry.jobs
         self._failures.retain_only(jobs)
-        for job_id in [job_id for job_id in self._gathered if job_id not in jobs]:
-            del self._gathered[job_id]
+        for job_id in [job_id for job_id in self._deferred_since_us if job_id not in jobs]:
+            del self._deferred_since_us[job_id]
