--- a/mosswalk/factory/attribution.py
+++ b/mosswalk/factory/attribution.py
@@ -1,7 +1,7 @@
-"""Which shape the tasks that wait count for.
+"""Assigns each waiting task to one machine type.
 
-The paper has one shape an image. Here a task fits several, and counting it in each shape's load
-would rent for it several times over.
+The paper has one machine type per image. Here a task fits several types, and counting it in the
+load of each of them would rent machines for it several times over.
 """
 
 from __future__ import annotations
@@ -17,25 +17,25 @@
 
 
 class TaskGroup(Struct):
-    """Unplaced tasks of one shape that may use the same pools."""
+    """Unplaced tasks assigned to one machine type that may use the same pools."""
 
     pools: tuple[Pool, ...]
     rank: int
     machines_needed: float
     estimates: list[float]
-    # A machine that would stay mostly empty is not rented for them.
+    # No machine is rented for these tasks if it would stay mostly empty.
     deferrable: bool
 
-    def add(self, job: Job, amount: float, can_wait: bool) -> None:
-        """Count more tasks."""
-        self.deferrable = self.deferrable and can_wait
+    def add(self, job: Job, machines_needed: float, deferrable: bool) -> None:
+        """Add tasks of a job to the group."""
+        self.deferrable = self.deferrable and deferrable
         self.rank = min(self.rank, job.rank)
-        self.machines_needed += amount
+        self.machines_needed += machines_needed
         self.estimates.append(job.spec.estimate_s)
 
 
 def usable_pools(tasks: WaitingTasks, pools: Iterable[Pool]) -> tuple[Pool, ...]:
-    """The pools that a job's next tasks may use."""
+    """Return the pools that a job's next tasks may use."""
     spec = tasks.job.spec
     return tuple(
         pool
@@ -46,8 +46,8 @@
     )
 
 
-class _Choice(Struct):
-    """Tasks and the open pools that they may use, by shape."""
+class _TaskOptions(Struct):
+    """Tasks and the open pools that they may use, by machine type."""
 
     tasks: WaitingTasks
     pools: dict[str, tuple[Pool, ...]]
@@ -56,26 +56,28 @@
 def attribute_tasks(
     unplaced: list[WaitingTasks], view: FleetView, open_pools: Mapping[str, list[Pool]]
 ) -> dict[str, list[TaskGroup]]:
-    """Give each unplaced task to one shape: the cheapest whose pools are open."""
-    choices = [_Choice(tasks, _usable_by_shape(tasks, view, open_pools)) for tasks in unplaced]
-    totals = _totals(choices, view)
-    there = {machine.pool for machine in view.machines if machine.usable}
-    shares: dict[str, list[TaskGroup]] = {}
-    for choice in choices:
-        name = _cheapest(choice, view, totals)
+    """Assign each unplaced task to the cheapest machine type that has an open pool for it."""
+    options = [_TaskOptions(tasks, _usable_by_type(tasks, view, open_pools)) for tasks in unplaced]
+    totals = _total_by_type(options, view)
+    existing_pools = {machine.pool for machine in view.machines if machine.usable}
+    groups_by_type: dict[str, list[TaskGroup]] = {}
+    for option in options:
+        name = _cheapest_type(option, view, totals)
         if name is not None:
-            can_wait = not choice.tasks.urgent and _has_home(choice.tasks, there, view)
-            _add(shares.setdefault(name, []), choice, name, view, can_wait=can_wait)
-    return shares
+            deferrable = not option.tasks.urgent and _fits_existing_machine(
+                option.tasks, existing_pools, view
+            )
+            _add(groups_by_type.setdefault(name, []), option, name, view, deferrable=deferrable)
+    return groups_by_type
 
 
-def _usable_by_shape(
+def _usable_by_type(
     tasks: WaitingTasks, view: FleetView, open_pools: Mapping[str, list[Pool]]
 ) -> dict[str, tuple[Pool, ...]]:
     return {
         name: pools
-        for name, shape in view.types.items()
-        if fits(tasks.job, shape) and (pools := usable_pools(tasks, open_pools[name]))
+        for name, machine_type in view.types.items()
+        if fits(tasks.job, machine_type) and (pools := usable_pools(tasks, open_pools[name]))
     }
 
 
@@ -83,54 +85,56 @@
     return any(pool[2] for pool in pools)
 
 
-def _totals(choices: list[_Choice], view: FleetView) -> dict[tuple[str, bool], float]:
-    """All that waits, by shape and by whether spot machines of it would serve.
+def _total_by_type(options: list[_TaskOptions], view: FleetView) -> dict[tuple[str, bool], float]:
+    """Sum up all waiting tasks, by machine type and by whether its spot machines may be used.
 
-    What must have steady machines does not fill spot ones, nor the other way round.
+    Tasks that need on-demand machines do not help to fill spot machines, nor the other way round.
     """
     totals: dict[tuple[str, bool], float] = {}
-    for choice in choices:
-        for name, pools in choice.pools.items():
+    for option in options:
+        for name, pools in option.pools.items():
             key = (name, _has_spot(pools))
-            amount = machine_share(choice.tasks.job, view.types[name]) * choice.tasks.count
-            totals[key] = totals.get(key, 0.0) + amount
+            machines_needed = machine_share(option.tasks.job, view.types[name]) * option.tasks.count
+            totals[key] = totals.get(key, 0.0) + machines_needed
     return totals
 
 
-def _cheapest(
-    choice: _Choice, view: FleetView, totals: Mapping[tuple[str, bool], float]
+def _cheapest_type(
+    option: _TaskOptions, view: FleetView, totals: Mapping[tuple[str, bool], float]
 ) -> str | None:
-    """The shape on which tasks cost least.
+    """Return the machine type on which the tasks cost least.
 
-    That is the price of the room a task takes, with its part of what would stay empty if all that
-    waits and fits were put on this shape.
+    The cost is the price of the capacity that a task uses, plus its share of what would stay empty
+    if all waiting tasks that fit this type were placed on it.
     """
     costs = []
-    for name, pools in choice.pools.items():
-        shape = view.types[name]
-        price = min(shape.spot_price if pool[2] else shape.price for pool in pools)
+    for name, pools in option.pools.items():
+        machine_type = view.types[name]
+        price = min(machine_type.spot_price if pool[2] else machine_type.price for pool in pools)
         total = totals[(name, _has_spot(pools))]
-        empty = math.ceil(total) / total
-        costs.append((price * machine_share(choice.tasks.job, shape) * empty, name))
+        rounding_factor = math.ceil(total) / total
+        costs.append(
+            (price * machine_share(option.tasks.job, machine_type) * rounding_factor, name)
+        )
     return min(costs)[1] if costs else None
 
 
 def _add(
-    groups: list[TaskGroup], choice: _Choice, name: str, view: FleetView, *, can_wait: bool
+    groups: list[TaskGroup], option: _TaskOptions, name: str, view: FleetView, *, deferrable: bool
 ) -> None:
-    """Count tasks with those that may use the same pools."""
-    job, pools = choice.tasks.job, choice.pools[name]
-    amount = machine_share(job, view.types[name]) * choice.tasks.count
+    """Add tasks to the group of those that may use the same pools."""
+    job, pools = option.tasks.job, option.pools[name]
+    machines_needed = machine_share(job, view.types[name]) * option.tasks.count
     for group in groups:
         if group.pools == pools:
-            group.add(job, amount, can_wait)
+            group.add(job, machines_needed, deferrable)
             return
-    groups.append(TaskGroup(pools, job.rank, amount, [job.spec.estimate_s], can_wait))
+    groups.append(TaskGroup(pools, job.rank, machines_needed, [job.spec.estimate_s], deferrable))
 
 
-def _has_home(tasks: WaitingTasks, there: set[Pool], view: FleetView) -> bool:
-    """Whether there is a machine that could run the tasks once it has room."""
+def _fits_existing_machine(tasks: WaitingTasks, existing_pools: set[Pool], view: FleetView) -> bool:
+    """Return whether a machine exists that could run the tasks once it has free capacity."""
     return any(
         pool[0] in view.types and fits(tasks.job, view.types[pool[0]])
-        for pool in usable_pools(tasks, there)
+        for pool in usable_pools(tasks, existing_pools)
     )
--- a/mosswalk/factory/booting.py
+++ b/mosswalk/factory/booting.py
@@ -1,4 +1,4 @@
-"""What requested and booting machines will take of the tasks that wait."""
+"""Which waiting tasks the requested and booting machines will take."""
 
 from __future__ import annotations
 
@@ -10,65 +10,71 @@
 
 
 def subtract_booting_capacity(view: FleetView) -> list[WaitingTasks]:
-    """Waiting tasks less those that requested and booting machines will take."""
-    rooms = _rooms_to_come(view)
-    booting = {room.machine: room for room in rooms}
-    least_cpus = min((tasks.job.cpus for tasks in view.waiting), default=0)
-    left: list[WaitingTasks] = []
+    """Return the waiting tasks less those that requested and booting machines will take.
+
+    Also sets the load of these machines in the view.
+    """
+    capacities = _booting_capacities(view)
+    booting = {capacity.machine: capacity for capacity in capacities}
+    min_cpus = min((tasks.job.cpus for tasks in view.waiting), default=0)
+    unplaced: list[WaitingTasks] = []
     for tasks in view.waiting:
-        # Most rooms are full soon: each job would ask them all again.
-        rooms = [room for room in rooms if room.cpus >= least_cpus]
-        after = _take_rooms(tasks, rooms)
-        if after.count:
-            left.append(after)
-    _note_loads(view, booting)
-    return left
+        # Most machines are soon full; without this, each job would check all of them again.
+        capacities = [capacity for capacity in capacities if capacity.cpus >= min_cpus]
+        remaining = _allocate(tasks, capacities)
+        if remaining.count:
+            unplaced.append(remaining)
+    _set_loads(view, booting)
+    return unplaced
 
 
-def _rooms_to_come(view: FleetView) -> list[FreeCapacity]:
-    """The rooms of machines that are not up yet."""
-    rooms = []
+def _booting_capacities(view: FleetView) -> list[FreeCapacity]:
+    """Return the capacity of each machine that is not up yet."""
+    capacities = []
     for m in view.machines:
-        shape = view.types.get(m.pool[0])
-        if m.phase != "up" and shape is not None:
-            rooms.append(
+        machine_type = view.types.get(m.pool[0])
+        if m.phase != "up" and machine_type is not None:
+            capacities.append(
                 FreeCapacity(
                     m.name,
                     m.pool[0],
                     m.pool[1],
                     m.pool[2],
                     0,
-                    milli_floor(shape.cpus),
-                    milli_floor(shape.gpus),
-                    milli_floor(shape.memory_gb),
+                    milli_floor(machine_type.cpus),
+                    milli_floor(machine_type.gpus),
+                    milli_floor(machine_type.memory_gb),
                 )
             )
-    return rooms
+    return capacities
+
 
+def _allocate(tasks: WaitingTasks, capacities: list[FreeCapacity]) -> WaitingTasks:
+    """Allocate as much of the capacities to a job's tasks as it may use.
 
-def _take_rooms(tasks: WaitingTasks, rooms: list[FreeCapacity]) -> WaitingTasks:
-    """Give a job's tasks as much of the rooms as they may have; those that are left."""
+    Returns the tasks that remain.
+    """
     rule = ZoneRule(tasks.rule.one_zone, tasks.rule.max_in_zone, dict(tasks.rule.counts))
     count = tasks.count
-    for room in rooms:
+    for capacity in capacities:
         if not count:
             break
-        if not room.fits(tasks.job) or not room.allows(tasks.job):
+        if not capacity.fits(tasks.job) or not capacity.allows(tasks.job):
             continue
-        taken = min(count, room.max_tasks(tasks.job), rule.remaining_in_zone(room.zone))
-        if taken > 0:
-            room.allocate(tasks.job, taken)
-            rule.add(room.zone, taken)
-            count -= taken
+        allocated = min(count, capacity.max_tasks(tasks.job), rule.remaining_in_zone(capacity.zone))
+        if allocated > 0:
+            capacity.allocate(tasks.job, allocated)
+            rule.add(capacity.zone, allocated)
+            count -= allocated
     return WaitingTasks(tasks.job, count, rule, tasks.waits_for_spot, tasks.urgent)
 
 
-def _note_loads(view: FleetView, booting: Mapping[str, FreeCapacity]) -> None:
-    """A machine that is not up counts as loaded by what it will take."""
+def _set_loads(view: FleetView, booting: Mapping[str, FreeCapacity]) -> None:
+    """Set the load of each machine that is not up to what it will take."""
     for m in view.machines:
         if m.name in booting:
-            room, shape = booting[m.name], view.types[m.pool[0]]
+            capacity, machine_type = booting[m.name], view.types[m.pool[0]]
             m.load = 1 - min(
-                room.cpus / max(1, milli_floor(shape.cpus)),
-                room.memory / max(1, milli_floor(shape.memory_gb)),
+                capacity.cpus / max(1, milli_floor(machine_type.cpus)),
+                capacity.memory / max(1, milli_floor(machine_type.memory_gb)),
             )
--- a/mosswalk/factory/consolidate.py
+++ b/mosswalk/factory/consolidate.py
@@ -1,9 +1,9 @@
-"""Which replicas to move so that the machine they are on can be given back.
+"""Which machine's replicas to move elsewhere so that the machine can be released.
 
-The paper's machines fall idle when load drops (Algorithm 2 removes idle ones). Replicas never
-end by themselves: a few of them left on a machine after a burst keep all of it rented to the end
-of their services. Moving one costs its users a gap of about a second, so few are moved at once,
-and only to where their image is at hand.
+The paper's machines become idle when load drops, and Algorithm 2 removes idle ones. Replicas never
+end by themselves: a few of them left on a machine after a burst keep all of it rented until their
+services end. Moving a replica interrupts its service for about a second, so few are moved at once,
+and only to machines that have their image cached or can fetch it quickly.
 """
 
 from __future__ import annotations
@@ -18,49 +18,52 @@
 from mosswalk.placement.capacity import FreeCapacity, zone_rule
 from mosswalk.store.records import Attempt
 
-# A machine more used than this is left as it is.
-_MOST_USED = 0.5
-# A fetch longer than this would make the gap too long.
-_MOST_FETCH_S = 0.5
-# So many machines are looked at in one go: each look asks all that are fuller.
-_MOST_LOOKS = 48
+# A machine with a higher load is not drained.
+_MAX_LOAD = 0.5
+# A longer image fetch would interrupt the service for too long.
+_MAX_FETCH_S = 0.5
+# At most this many machines are examined at once: each is checked against all that are fuller.
+_MAX_CANDIDATES = 48
 
 
 class ReplicaHost(Struct):
     """A machine that runs replicas."""
 
     capacity: FreeCapacity
-    # The used part of its scarcer amount, and what it costs an hour.
+    # The used fraction of its scarcer resource, and its price per hour.
     load: float
     price: float
     replicas: list[tuple[Job, Attempt]]
-    # Nothing else runs there, and all its replicas have run for a while.
+    # Nothing but replicas runs there, and all of them have run for a minimum time.
     drainable: bool
 
 
-def _fits_elsewhere(
-    job: Job, attempt: Attempt, rooms: Iterable[FreeCapacity], zone_of: MutableMapping[str, str]
+def _find_target(
+    job: Job,
+    attempt: Attempt,
+    capacities: Iterable[FreeCapacity],
+    zone_of: MutableMapping[str, str],
 ) -> FreeCapacity | None:
     rule = zone_rule(job, ChainMap({attempt.machine: ""}, zone_of))
     if rule is None:
         return None
-    for room in rooms:
-        if not room.fits(job) or not room.allows(job) or not rule.allows(room.zone):
+    for capacity in capacities:
+        if not capacity.fits(job) or not capacity.allows(job) or not rule.allows(capacity.zone):
             continue
-        if room.image_fetch_s(job) <= _MOST_FETCH_S:
-            return room
+        if capacity.image_fetch_s(job) <= _MAX_FETCH_S:
+            return capacity
     return None
 
 
 def choose_machine_to_drain(
     hosts: Iterable[ReplicaHost], zone_of: MutableMapping[str, str]
 ) -> ReplicaHost | None:
-    """The machine whose emptying saves most, if its replicas fit on the others."""
-    everything = list(hosts)
-    candidates = [h for h in everything if h.drainable and 0 < h.load < _MOST_USED]
+    """Return the machine whose release saves most, if its replicas fit on the others."""
+    all_hosts = list(hosts)
+    candidates = [h for h in all_hosts if h.drainable and 0 < h.load < _MAX_LOAD]
     candidates.sort(key=lambda h: (-h.price * (1 - h.load), h.capacity.machine))
-    fullest_first = sorted(everything, key=lambda h: (-h.load, h.capacity.machine))
-    for host in candidates[:_MOST_LOOKS]:
+    fullest_first = sorted(all_hosts, key=lambda h: (-h.load, h.capacity.machine))
+    for host in candidates[:_MAX_CANDIDATES]:
         if _can_be_emptied(host, fullest_first, zone_of):
             return host
     return None
@@ -69,15 +72,17 @@
 def _can_be_emptied(
     host: ReplicaHost, fullest_first: list[ReplicaHost], zone_of: MutableMapping[str, str]
 ) -> bool:
-    """Whether all replicas of a machine fit on others."""
-    taken: dict[str, FreeCapacity] = {}
+    """Return whether all replicas of a machine fit on others."""
+    remaining: dict[str, FreeCapacity] = {}
     for job, attempt in host.replicas:
-        # Onto fuller machines only, or two of them would trade replicas for ever.
+        # Only to machines at least as full, or two machines would exchange replicas forever.
         fuller = takewhile(lambda other: other.load >= host.load, fullest_first)
-        rooms = (taken.get(h.capacity.machine, h.capacity) for h in fuller if h is not host)
-        found = _fits_elsewhere(job, attempt, rooms, zone_of)
-        if found is None:
+        capacities = (
+            remaining.get(h.capacity.machine, h.capacity) for h in fuller if h is not host
+        )
+        target = _find_target(job, attempt, capacities, zone_of)
+        if target is None:
             return False
-        room = taken.setdefault(found.machine, structs.replace(found))
-        room.allocate(job)
+        capacity = remaining.setdefault(target.machine, structs.replace(target))
+        capacity.allocate(job)
     return True
--- a/mosswalk/factory/cordon.py
+++ b/mosswalk/factory/cordon.py
@@ -1,8 +1,8 @@
-"""Which machines to empty so that they can be given back.
+"""Which machines to cordon, so that they drain and can be released.
 
-The paper's machines fall idle when load drops. Here small tasks keep trickling onto machines
-that are mostly empty, so none stays idle for long and none is returned. Cordoned machines get
-tasks only when nothing else fits; the give-back itself stays the paper's.
+The paper's machines become idle when load drops. Here small tasks keep arriving on machines that
+are mostly empty, so none of these stays idle for long and none is released. A cordoned machine
+takes tasks only if nothing else fits; the release itself follows the paper.
 """
 
 from __future__ import annotations
@@ -11,14 +11,14 @@
 
 from msgspec import Struct
 
-# Emptied only if less than this part of it is used.
-_MOST_USED = 0.6
-# Room that stays open for what arrives next, as a part of what is used.
-_RESERVE = 0.2
+# A machine with this load or more is not cordoned.
+_CORDON_LOAD_LIMIT = 0.6
+# Capacity that stays free for new tasks, as a fraction of the used capacity.
+_RESERVE_FRACTION = 0.2
 
 
 class Occupancy(Struct, frozen=True, gc=False):
-    """A machine's used and free amounts, in thousandths, and its price."""
+    """A machine's used and free resources, in thousandths, and its price per hour."""
 
     machine: str
     used_cpus: int
@@ -26,10 +26,11 @@
     used_memory: int
     free_memory: int
     price: float
+    # Whether it runs no replica: all its tasks end by themselves.
     self_draining: bool
 
     def load(self) -> float:
-        """The used part of its scarcer amount."""
+        """Return the used fraction of its scarcer resource."""
         return max(
             self.used_cpus / max(1, self.used_cpus + self.free_cpus),
             self.used_memory / max(1, self.used_memory + self.free_memory),
@@ -37,21 +38,21 @@
 
 
 def choose_machines_to_cordon(machines: Iterable[Occupancy]) -> set[str]:
-    """The machines that waste most, as far as the others have room for their work."""
-    everything = list(machines)
-    reserve_cpus = _RESERVE * sum(m.used_cpus for m in everything)
-    reserve_memory = _RESERVE * sum(m.used_memory for m in everything)
-    spare_cpus = sum(m.free_cpus for m in everything) - reserve_cpus
-    spare_memory = sum(m.free_memory for m in everything) - reserve_memory
+    """Return the machines that waste most, as far as the others have capacity for their tasks."""
+    all_machines = list(machines)
+    reserve_cpus = _RESERVE_FRACTION * sum(m.used_cpus for m in all_machines)
+    reserve_memory = _RESERVE_FRACTION * sum(m.used_memory for m in all_machines)
+    spare_cpus = sum(m.free_cpus for m in all_machines) - reserve_cpus
+    spare_memory = sum(m.free_memory for m in all_machines) - reserve_memory
     cordoned: set[str] = set()
-    for machine in sorted(everything, key=lambda m: (-m.price * (1 - m.load()), m.machine)):
-        if not machine.self_draining or machine.load() >= _MOST_USED:
+    for machine in sorted(all_machines, key=lambda m: (-m.price * (1 - m.load()), m.machine)):
+        if not machine.self_draining or machine.load() >= _CORDON_LOAD_LIMIT:
             continue
-        # Without it, its free room is lost and its work needs room elsewhere.
-        need_cpus = machine.free_cpus + machine.used_cpus
-        need_memory = machine.free_memory + machine.used_memory
-        if need_cpus <= spare_cpus and need_memory <= spare_memory:
+        # Cordoning it takes away its free capacity, and its tasks need capacity elsewhere.
+        needed_cpus = machine.free_cpus + machine.used_cpus
+        needed_memory = machine.free_memory + machine.used_memory
+        if needed_cpus <= spare_cpus and needed_memory <= spare_memory:
             cordoned.add(machine.machine)
-            spare_cpus -= need_cpus
-            spare_memory -= need_memory
+            spare_cpus -= needed_cpus
+            spare_memory -= needed_memory
     return cordoned
--- a/mosswalk/factory/load.py
+++ b/mosswalk/factory/load.py
@@ -9,36 +9,36 @@
 from mosswalk.wire.cloud import MachineType
 
 
-def machine_share(job: Job, machine: MachineType) -> float:
-    """How much of an empty machine one task takes, by its scarcest amount."""
+def machine_share(job: Job, machine_type: MachineType) -> float:
+    """Return the fraction of an empty machine that one task uses, by its scarcest resource."""
     parts = [
-        job.cpus / max(1, milli_ceil(machine.cpus)),
-        job.memory / max(1, milli_ceil(machine.memory_gb)),
+        job.cpus / max(1, milli_ceil(machine_type.cpus)),
+        job.memory / max(1, milli_ceil(machine_type.memory_gb)),
     ]
     if job.gpus:
-        parts.append(job.gpus / max(1, milli_ceil(machine.gpus)))
+        parts.append(job.gpus / max(1, milli_ceil(machine_type.gpus)))
     return max(parts)
 
 
-def fits(job: Job, machine: MachineType) -> bool:
-    """Whether the job's tasks may and can run on a shape."""
-    return fits_machine_type(job.spec, machine)
+def fits(job: Job, machine_type: MachineType) -> bool:
+    """Return whether the job allows a machine type and its tasks fit on it."""
+    return fits_machine_type(job.spec, machine_type)
 
 
-def load_ratio(demand: float, slots: int) -> float:
-    """L: fitting tasks over slots, both in whole machines."""
-    if slots > 0:
-        return demand / slots
+def load_ratio(demand: float, machines: int) -> float:
+    """Return the load ratio L of the paper: demand over capacity, both in whole machines."""
+    if machines > 0:
+        return demand / machines
     return float("inf") if demand > 0 else 0.0
 
 
 class Dwell(Struct):
-    """Tells when a ratio has stayed beyond a threshold for long enough."""
+    """Tracks whether a ratio has stayed beyond a threshold for long enough."""
 
     since_us: int | None = None
 
     def update(self, beyond: bool, now_us: int, dwell_us: int) -> bool:
-        """Note the ratio's state now; whether it has lasted."""
+        """Record whether the ratio is beyond the threshold; return whether that has lasted."""
         if not beyond:
             self.since_us = None
             return False
--- a/mosswalk/factory/loop.py
+++ b/mosswalk/factory/loop.py
@@ -1,7 +1,7 @@
-"""The VM factory: one loop per machine shape (paper, Algorithms 1 and 2).
+"""The VM factory: one control loop per machine type (paper, Algorithms 1 and 2).
 
-A state machine without I/O: the leader shows it the cloud's machines and the tasks, and carries
-out what it decides. What differs from the paper is told in docs/design.md.
+A state machine without I/O: the leader passes it a view of the machines and the tasks, and carries
+out its decisions. docs/design.md lists the differences from the paper.
 """
 
 from __future__ import annotations
@@ -22,48 +22,50 @@
 from mosswalk.factory.view import FleetView, Pool, Release, Rent, WaitingTasks, release_order
 from mosswalk.wire.cloud import MAX_MACHINES_PER_RENTAL, MachineType
 
-# The cloud charges a machine for at least this long, so giving it back earlier saves nothing.
+# The cloud charges a machine for at least this long, so releasing it earlier saves nothing.
 MIN_CHARGED_US = 60_000_000
 
 
-class _Shape(Struct):
-    """For how long a shape's load has been high, and low."""
+class _LoadState(Struct):
+    """For how long the load of a machine type has been high, and low."""
 
     high: Dwell = field(default_factory=Dwell)
     low: Dwell = field(default_factory=Dwell)
 
 
 class Factory:
-    """Decides what to rent and what to give back."""
+    """Decides which machines to rent and which to release."""
 
     def __init__(self, tuning: FactoryTuning) -> None:
         self._tuning = tuning
         self.pools = PoolRegistry(tuning.pool_cap)
-        self._shapes: dict[str, _Shape] = {}
-        # Rents whose first copy has not booted: group -> pools still to be released.
+        self._load_states: dict[str, _LoadState] = {}
+        # The pools, less those that refused, of each rental group without a booted machine yet.
         self._groups: dict[int, tuple[Pool, ...]] = {}
         self._next_group = 1
 
-    # What happened to earlier decisions.
+    # Results of earlier decisions.
 
     def on_copy_booted(
-        self, group: int, pool: Pool, view_now: Callable[[], FleetView]
+        self, group: int, pool: Pool, get_view: Callable[[], FleetView]
     ) -> list[Release]:
-        """Procedure HandleReplicas: each other copy's pool gives back one machine.
+        """Procedure HandleReplicas: release one machine in each other pool of the group.
 
-        Exception: a pool whose machine waiting tasks would take keeps it. Giving it back would
-        only be followed by renting the same again, with another boot to wait for and to pay.
+        Exception: a pool keeps its machine if waiting tasks could use it. Otherwise the same
+        machine would be rented again at once, with another boot to wait for and to pay.
         """
-        rest = list(self._groups.pop(group, ()))
-        if pool in rest:
-            rest.remove(pool)
-        if not rest:
+        other_pools = list(self._groups.pop(group, ()))
+        if pool in other_pools:
+            other_pools.remove(pool)
+        if not other_pools:
             return []
-        view = view_now()
-        rest = [p for p in rest if not any(self._wanted(t, p, view) for t in view.waiting)]
-        gone: list[Release] = []
-        for other in rest:
-            names = {g.machine for g in gone}
+        view = get_view()
+        other_pools = [
+            p for p in other_pools if not any(self._is_usable(t, p, view) for t in view.waiting)
+        ]
+        releases: list[Release] = []
+        for other in other_pools:
+            names = {r.machine for r in releases}
             candidates = [
                 m
                 for m in view.machines
@@ -72,25 +74,35 @@
                 and (m.phase != "up" or m.idle_since_us is not None)
             ]
             if candidates:
-                gone.append(Release(min(candidates, key=release_order).name, "replica lost"))
-        return gone
+                releases.append(
+                    Release(
+                        min(candidates, key=release_order).name,
+                        "another machine of its rental group booted first",
+                    )
+                )
+        return releases
 
     @staticmethod
-    def _wanted(tasks: WaitingTasks, pool: Pool, view: FleetView) -> bool:
-        shape = view.types.get(pool[0])
-        return shape is not None and fits(tasks.job, shape) and bool(usable_pools(tasks, [pool]))
+    def _is_usable(tasks: WaitingTasks, pool: Pool, view: FleetView) -> bool:
+        """Return whether a machine of the pool could run the tasks."""
+        machine_type = view.types.get(pool[0])
+        return (
+            machine_type is not None
+            and fits(tasks.job, machine_type)
+            and bool(usable_pools(tasks, [pool]))
+        )
 
     def on_copy_refused(self, group: int, pool: Pool) -> None:
-        """A copy was not to be had."""
-        left = list(self._groups.get(group, ()))
-        if pool in left:
-            left.remove(pool)
-            self._groups[group] = tuple(left)
+        """Remove a pool from a rental group: the cloud has refused the machine there."""
+        remaining = list(self._groups.get(group, ()))
+        if pool in remaining:
+            remaining.remove(pool)
+            self._groups[group] = tuple(remaining)
 
     # Decisions.
 
     def decide(self, view: FleetView) -> list[Rent | Release]:
-        """One turn of every shape's loop."""
+        """Run one iteration of the control loop of every machine type."""
         unplaced = subtract_booting_capacity(view)
         demand: dict[str, float] = dict.fromkeys(view.types, 0.0)
         for machine in view.machines:
@@ -98,22 +110,23 @@
                 demand[machine.pool[0]] += machine.load
         counts = Counter(machine.pool for machine in view.machines)
         open_pools = {
-            name: self.pools.open_pools(shape, counts, view.now_us)
-            for name, shape in view.types.items()
+            name: self.pools.open_pools(machine_type, counts, view.now_us)
+            for name, machine_type in view.types.items()
         }
-        shares = attribute_tasks(unplaced, view, open_pools)
-        for name, groups in shares.items():
+        groups_by_type = attribute_tasks(unplaced, view, open_pools)
+        for name, groups in groups_by_type.items():
             demand[name] += sum(g.machines_needed for g in groups)
         decisions: list[Rent | Release] = []
-        calls = view.calls_left
-        for name, shape in sorted(view.types.items()):
-            slots = sum(1 for m in view.machines if m.pool[0] == name)
-            ratio = load_ratio(demand[name], slots)
-            state = self._shapes.setdefault(name, _Shape())
+        calls_left = view.calls_left
+        for name, machine_type in sorted(view.types.items()):
+            machine_count = sum(1 for m in view.machines if m.pool[0] == name)
+            ratio = load_ratio(demand[name], machine_count)
+            state = self._load_states.setdefault(name, _LoadState())
             tuning = self._tuning
-            groups = shares.get(name, [])
-            # Exception to the load ratio: tasks that fit no room there is, booting machines
-            # included, count as high load however low scattered room holds the ratio.
+            groups = groups_by_type.get(name, [])
+            # Exception to the load ratio: tasks that fit no machine's free capacity, booting
+            # machines included, count as high load, even if scattered free capacity keeps the
+            # ratio low.
             high = state.high.update(
                 ratio > tuning.load_high or bool(groups), view.now_us, to_us(tuning.high_dwell_s)
             )
@@ -121,62 +134,66 @@
                 ratio < tuning.load_low and not groups, view.now_us, to_us(tuning.low_dwell_s)
             )
             if high and groups:
-                rents, calls = self._rent(shape, groups, view, calls)
+                rents, calls_left = self._choose_rents(machine_type, groups, view, calls_left)
                 decisions += rents
             elif low:
-                decisions += self._give_back(name, ratio, view)
+                decisions += self._choose_releases(name, ratio, view)
         return decisions
 
-    def _rent(
-        self, shape: MachineType, groups: list[TaskGroup], view: FleetView, calls: int
+    def _choose_rents(
+        self,
+        machine_type: MachineType,
+        groups: list[TaskGroup],
+        view: FleetView,
+        calls_left: int,
     ) -> tuple[list[Rent], int]:
         rents: list[Rent] = []
-        # More than a call rents would be taken for refused.
-        left = min(self._tuning.most_rented, MAX_MACHINES_PER_RENTAL)
-        added: dict[Pool, int] = {}
+        # Machines beyond the limit of one rental call would be recorded as refused.
+        rents_left = min(self._tuning.most_rented, MAX_MACHINES_PER_RENTAL)
+        rents_by_pool: dict[Pool, int] = {}
         counts = Counter(m.pool for m in view.machines)
         for group in sorted(groups, key=lambda g: g.rank):
             if group.deferrable and group.machines_needed < self._tuning.least_fill:
                 continue
-            need = max(1, int(group.machines_needed + 0.999))
+            needed = max(1, int(group.machines_needed + 0.999))
             walltime_us = float(to_us(median(group.estimates)))
-            asked: list[Pool] = []
-            while need > 0 and left > 0:
+            evaluated: list[Pool] = []
+            while needed > 0 and rents_left > 0:
                 pools = [
                     p
                     for p in group.pools
-                    if self.pools.is_below_cap(p, counts[p] + added.get(p, 0))
+                    if self.pools.is_below_cap(p, counts[p] + rents_by_pool.get(p, 0))
                 ]
                 if not pools:
                     break
-                if pools != asked:
-                    front = pareto_front(self.pools.estimates(shape, pools), walltime_us)
+                if pools != evaluated:
+                    front = pareto_front(self.pools.estimates(machine_type, pools), walltime_us)
                     best = optimize(front, self._tuning.weight_of_time)
-                    asked = pools
-                # A pool asked already in this turn takes part in the same call.
-                fresh = sum(1 for f in best.pools if f.pool not in added)
-                short = max(0, fresh - calls)
+                    evaluated = pools
+                # All rentals in a pool that are decided in one iteration share one cloud call.
+                calls_needed = sum(1 for p in best.pools if p.pool not in rents_by_pool)
+                calls_missing = max(0, calls_needed - calls_left)
                 chosen = tuple(
-                    f.pool for f in pools_within_call_limit(best, len(best.pools) - short)
+                    p.pool for p in pools_within_call_limit(best, len(best.pools) - calls_missing)
                 )
                 if not chosen:
                     break
-                calls -= sum(1 for pool in chosen if pool not in added)
+                calls_left -= sum(1 for pool in chosen if pool not in rents_by_pool)
                 rent = Rent(self._next_group, chosen)
                 self._next_group += 1
                 self._groups[rent.group] = chosen
                 for pool in chosen:
-                    added[pool] = added.get(pool, 0) + 1
+                    rents_by_pool[pool] = rents_by_pool.get(pool, 0) + 1
                     self.pools.on_rental_requested(pool, view.now_us)
                 rents.append(rent)
-                need -= 1
-                left -= 1
-        return rents, calls
+                needed -= 1
+                rents_left -= 1
+        return rents, calls_left
 
-    def _give_back(self, name: str, ratio: float, view: FleetView) -> list[Release]:
+    def _choose_releases(self, name: str, ratio: float, view: FleetView) -> list[Release]:
         tuning = self._tuning
         machines = [m for m in view.machines if m.pool[0] == name]
-        # What may go: nothing placed on it, and charged for its least time anyway.
+        # Only machines without tasks, for which the minimum charge has been reached.
         candidates = sorted(
             (
                 m
@@ -194,14 +211,14 @@
             ),
             key=release_order,
         )
-        gone: list[Release] = []
+        releases: list[Release] = []
         for machine in candidates[: tuning.most_returned]:
             # The last machine stays unless the load is zero.
-            if len(machines) - len(gone) <= 1 and ratio > 0:
+            if len(machines) - len(releases) <= 1 and ratio > 0:
                 break
-            # Giving it back must not lift the ratio over the renting threshold.
-            left = len(machines) - len(gone) - 1
-            if left and ratio * len(machines) / left > tuning.load_high:
+            # The release must not raise the ratio above the renting threshold.
+            remaining = len(machines) - len(releases) - 1
+            if remaining and ratio * len(machines) / remaining > tuning.load_high:
                 break
-            gone.append(Release(machine.name, f"load {ratio:.2f}"))
-        return gone
+            releases.append(Release(machine.name, f"load {ratio:.2f}"))
+        return releases
--- a/mosswalk/factory/pareto.py
+++ b/mosswalk/factory/pareto.py
@@ -1,7 +1,7 @@
 """The Pareto set of pool choices (paper, Algorithms 3 and 4; section IV-B).
 
-A pool is a zone with spot or steady machines of one shape. All durations are microseconds;
-prices are per hour and only compared with one another.
+A pool is the spot or the on-demand machines of one type in one zone. All durations are in
+microseconds; prices are per hour and only compared with one another.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class PoolEstimate(Struct, frozen=True):
-    """What is known of a pool: alpha, q, b and phi of the paper."""
+    """Price and times of a pool: alpha, q, b and phi of the paper."""
 
     pool: tuple[str, str, bool]
     price: float
@@ -23,7 +23,7 @@
     slowdown: float = 1.0
 
     def delay_us(self) -> float:
-        """q + b."""
+        """Return the expected time until a machine is up: q + b of the paper."""
         return self.queue_us + self.boot_us
 
 
@@ -37,12 +37,12 @@
 
 def evaluate(pools: Sequence[PoolEstimate], walltime_us: float) -> Action:
     """Procedure ActionExecutionTimeAndCost."""
-    first = min(pools, key=lambda p: (p.delay_us(), p.price, p.pool))
-    work_us = first.slowdown * walltime_us
-    cost = first.price * (first.boot_us + work_us)
-    cost += sum(p.price * p.boot_us for p in pools if p is not first)
-    delay_us = first.delay_us()
-    # A pool measured at no delay at all would divide by zero: take a microsecond.
+    fastest = min(pools, key=lambda p: (p.delay_us(), p.price, p.pool))
+    work_us = fastest.slowdown * walltime_us
+    cost = fastest.price * (fastest.boot_us + work_us)
+    cost += sum(p.price * p.boot_us for p in pools if p is not fastest)
+    delay_us = fastest.delay_us()
+    # A pool may have a measured delay of zero: use at least 1 us to avoid a division by zero.
     gain = sum(max(1.0, delay_us) / max(1.0, p.delay_us()) for p in pools)
     time_us = delay_us / 2 * (1 + math.exp(1 - gain)) + work_us
     return Action(time_us, cost, tuple(pools))
@@ -57,13 +57,13 @@
 
 def add_to_front(front: list[Action], action: Action) -> list[Action]:
     """Procedure AddToParetoSet."""
-    kept = [action]
+    new_front = [action]
     for other in front:
         if dominates(other, action):
             return front
         if not dominates(action, other):
-            kept.append(other)
-    return kept
+            new_front.append(other)
+    return new_front
 
 
 def pareto_front(pools: Iterable[PoolEstimate], walltime_us: float) -> list[Action]:
@@ -77,18 +77,19 @@
 
 
 def optimize(front: Sequence[Action], weight_of_time: float) -> Action:
-    """Procedure Optimize: the least of lambda * r + (1 - lambda) * c, both normalised."""
+    """Procedure Optimize: minimise lambda * r + (1 - lambda) * c, both normalised to 0 to 1."""
     times = [a.time_us for a in front]
     costs = [a.cost for a in front]
 
-    def part(value: float, values: list[float]) -> float:
+    def normalised(value: float, values: list[float]) -> float:
         span = max(values) - min(values)
         return (value - min(values)) / span if span > 0 else 0.0
 
     return min(
         front,
         key=lambda a: (
-            weight_of_time * part(a.time_us, times) + (1 - weight_of_time) * part(a.cost, costs),
+            weight_of_time * normalised(a.time_us, times)
+            + (1 - weight_of_time) * normalised(a.cost, costs),
             len(a.pools),
             a.cost,
             tuple(p.pool for p in a.pools),
@@ -97,5 +98,5 @@
 
 
 def pools_within_call_limit(action: Action, calls: int) -> tuple[PoolEstimate, ...]:
-    """When cloud calls are short, the set keeps its best pools by q + b (DESIGN)."""
+    """Limit an action to its best pools by q + b if cloud calls are scarce (see docs/design.md)."""
     return tuple(sorted(action.pools, key=lambda p: (p.delay_us(), p.pool))[: max(0, calls)])
--- a/mosswalk/factory/view.py
+++ b/mosswalk/factory/view.py
@@ -1,4 +1,4 @@
-"""What the factory decides on, and its decisions."""
+"""The factory's input, a view of machines and waiting tasks, and its decisions."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from mosswalk.placement.capacity import ZoneRule
 from mosswalk.wire.cloud import MachineType
 
-# A machine type, a zone, and whether its machines are spot ones.
+# A machine type, a zone, and whether its machines are spot machines.
 Pool = tuple[str, str, bool]
 
 
@@ -19,31 +19,32 @@
 
     name: str
     pool: Pool
-    phase: str  # requested, booting, up
+    phase: str  # "requested", "booting" or "up"
     phase_since_us: int
     rented_at_us: int
     usable: bool
     idle_since_us: int | None
     load: float
-    # Chosen to be emptied: an idle machine that is not stays, or cheap ones would be given
-    # back while dear ones are still at work.
+    # Only a cordoned machine is released when idle, or cheap machines would be released while
+    # expensive ones still run tasks.
     cordoned: bool = True
 
 
 class WaitingTasks(Struct):
-    """Tasks of one job that found no room on booted machines."""
+    """Tasks of one job that do not fit on the booted machines."""
 
     job: Job
     count: int
     rule: ZoneRule
-    # May wait a while for spot machines rather than have steady ones rented.
+    # Whether they wait for spot machines for now, so that no on-demand machines are rented.
     waits_for_spot: bool = False
-    # Prod, or within a guarantee: not to wait for others to fill a machine with it.
+    # Tasks of prod jobs, of gangs or within the team's guarantee: a machine is rented for them
+    # even if they leave it mostly empty.
     urgent: bool = False
 
 
 class FleetView(Struct):
-    """All the factory decides on."""
+    """All that the factory's decisions depend on."""
 
     now_us: int
     types: Mapping[str, MachineType]
@@ -53,21 +54,24 @@
 
 
 class Rent(Struct, frozen=True):
-    """Rent one machine in each of these pools, the copies of one another."""
+    """Rent one machine in each of these pools, as a rental group.
+
+    The group serves a need for one machine: once the first has booted, the others are released.
+    """
 
     group: int
     pools: tuple[Pool, ...]
 
 
 class Release(Struct, frozen=True):
-    """Return a machine."""
+    """Release a machine."""
 
     machine: str
     reason: str
 
 
 def release_order(machine: MachineView) -> tuple[int, int]:
-    """Newest requested, then newest booting, then longest idle."""
+    """Sort key for releases: newest requested, then newest booting, then longest idle."""
     if machine.phase == "requested":
         return (0, -machine.phase_since_us)
     if machine.phase == "booting":
