--- a/mosswalk/factory/consolidate.py
+++ b/mosswalk/factory/consolidate.py
@@ -64,12 +64,12 @@
     candidates.sort(key=lambda h: (-h.price * (1 - h.load), h.capacity.machine))
     fullest_first = sorted(all_hosts, key=lambda h: (-h.load, h.capacity.machine))
     for host in candidates[:_MAX_CANDIDATES]:
-        if _can_be_emptied(host, fullest_first, zone_of):
+        if _can_be_drained(host, fullest_first, zone_of):
             return host
     return None
 
 
-def _can_be_emptied(
+def _can_be_drained(
     host: ReplicaHost, fullest_first: list[ReplicaHost], zone_of: MutableMapping[str, str]
 ) -> bool:
     """Return whether all replicas of a machine fit on others."""
--- a/mosswalk/fleet/consolidating.py
+++ b/mosswalk/fleet/consolidating.py
@@ -1,4 +1,4 @@
-"""Moves replicas together in calm times, so that machines can be given back."""
+"""Consolidates replicas on fewer machines while nothing waits, so that machines can be released."""
 
 from __future__ import annotations
 
@@ -14,16 +14,17 @@
 
 log = logging.getLogger(__name__)
 
-# A start that is stopped within 30 s does not count for its user.
-_SETTLED_US = 60 * SECOND_US
-# How long a machine that is being emptied gets nothing new: its give-back takes a while.
-_EMPTYING_US = 30 * SECOND_US
-# One replica at a time is moved for this many that run.
-_RUNNING_A_MOVE = 250
+# A replica is moved only after it has run this long: a start that is stopped within 30 s does not
+# count for its user.
+_MIN_RUN_US = 60 * SECOND_US
+# How long a machine stays cordoned after it was last chosen to drain: its release takes a while.
+_DRAINING_US = 30 * SECOND_US
+# At once, one replica is moved for each this many that run, but at least one.
+_REPLICAS_PER_MOVE = 250
 
 
 class Consolidator:
-    """Chooses replicas to stop; the team owners place them again like any other."""
+    """Chooses replicas to stop; the team owners place them again like any other task."""
 
     def __init__(
         self, inventory: Inventory, registry: JobRegistry, offers: OfferPlanner, clock: Clock
@@ -32,59 +33,65 @@
         self._registry = registry
         self._offers = offers
         self._clock = clock
-        self._seen_us: dict[AttemptKey, int] = {}
-        self._moved: set[str] = set()
-        self._emptying: dict[str, int] = {}
+        self._first_seen_at_us: dict[AttemptKey, int] = {}
+        self._moving_jobs: set[str] = set()
+        self._draining_until_us: dict[str, int] = {}
 
     def draining(self) -> set[str]:
-        """Machines that are to get nothing new."""
+        """Return the machines that are being drained, which are cordoned."""
         now_us = self._clock.now_us()
-        self._emptying = {m: until for m, until in self._emptying.items() if until > now_us}
-        return set(self._emptying)
+        self._draining_until_us = {
+            m: until_us for m, until_us in self._draining_until_us.items() if until_us > now_us
+        }
+        return set(self._draining_until_us)
 
-    def _host(
-        self, machine: Machine, before: dict[AttemptKey, int], now_us: int
+    def _replica_host(
+        self, machine: Machine, first_seen_at_us: dict[AttemptKey, int], now_us: int
     ) -> ReplicaHost | None:
-        room, shape = self._offers.free_capacity(machine), self._inventory.types.get(machine.type)
-        if room is None or shape is None or not machine.has_replica:
+        capacity, machine_type = (
+            self._offers.free_capacity(machine),
+            self._inventory.types.get(machine.type),
+        )
+        if capacity is None or machine_type is None or not machine.has_replica:
             return None
         replicas: list[tuple[Job, Attempt]] = []
-        settled = True
+        drainable = True
         for key, attempt in self._registry.attempts_on(machine.name).items():
             job = self._registry.jobs.get(key[0])
             if job is None or not job.open or job.spec.kind != "daemon":
-                settled = False
+                drainable = False
                 continue
             replicas.append((job, attempt))
-            since_us = self._seen_us[key] = before.get(key, now_us)
-            settled = settled and now_us - since_us >= _SETTLED_US
-        price = shape.spot_price if machine.spot else shape.price
-        return ReplicaHost(room, machine.utilization(shape), price, replicas, settled)
+            since_us = self._first_seen_at_us[key] = first_seen_at_us.get(key, now_us)
+            drainable = drainable and now_us - since_us >= _MIN_RUN_US
+        price = machine_type.spot_price if machine.spot else machine_type.price
+        return ReplicaHost(capacity, machine.utilization(machine_type), price, replicas, drainable)
 
     def choose_replicas(self) -> list[tuple[Job, Attempt]]:
-        """The replicas to stop now."""
+        """Return the replicas to stop now."""
         now_us = self._clock.now_us()
-        before, self._seen_us = self._seen_us, {}
-        found = (
-            self._host(machine, before, now_us) for machine in self._inventory.machines.values()
+        first_seen_at_us, self._first_seen_at_us = self._first_seen_at_us, {}
+        replica_hosts = (
+            self._replica_host(machine, first_seen_at_us, now_us)
+            for machine in self._inventory.machines.values()
         )
-        hosts = [host for host in found if host is not None]
+        hosts = [host for host in replica_hosts if host is not None]
         running = sum(len(host.replicas) for host in hosts)
-        self._moved = {
+        self._moving_jobs = {
             job_id
-            for job_id in self._moved
+            for job_id in self._moving_jobs
             if (job := self._registry.jobs.get(job_id)) is not None and job.pending_count() > 0
         }
-        if self._moved:
-            # One that was stopped has no place yet: first things first.
+        if self._moving_jobs:
+            # A replica that was stopped is not placed again yet: no other is moved before it is.
             return []
         host = choose_machine_to_drain(hosts, self._inventory.zones_by_machine())
         if host is None:
             return []
         name = host.capacity.machine
-        if name not in self._emptying:
-            log.info("emptying %s: its %d replicas fit elsewhere", name, len(host.replicas))
-        self._emptying[name] = now_us + _EMPTYING_US
-        chosen = host.replicas[: max(1, running // _RUNNING_A_MOVE)]
-        self._moved = {job.id for job, _ in chosen}
+        if name not in self._draining_until_us:
+            log.info("draining %s: its %d replicas fit on other machines", name, len(host.replicas))
+        self._draining_until_us[name] = now_us + _DRAINING_US
+        chosen = host.replicas[: max(1, running // _REPLICAS_PER_MOVE)]
+        self._moving_jobs = {job.id for job, _ in chosen}
         return chosen
--- a/mosswalk/fleet/machine_list.py
+++ b/mosswalk/fleet/machine_list.py
@@ -1,6 +1,6 @@
-"""Takes the cloud's machine list into the inventory.
+"""Updates the inventory from the cloud's machine list.
 
-The list is somewhat old: it proves nothing about a machine that it does not show.
+The list lags behind: that a machine is missing from it does not prove that the machine is gone.
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
 
 
 class MachineReleaser(Protocol):
-    """Who returns machines to the cloud."""
+    """Releases machines to the cloud."""
 
-    def release(self, machine: Machine, why: str) -> None:
-        """Return a machine."""
+    def release(self, machine: Machine, reason: str) -> None:
+        """Release a machine."""
 
 
 class MachineListIntake:
-    """Adopts machines that are listed and not known, and returns those that have failed."""
+    """Adds listed machines that are not known yet and releases those that have failed."""
 
     def __init__(
         self, inventory: Inventory, offers: OfferPlanner, releaser: MachineReleaser, clock: Clock
@@ -36,30 +36,33 @@
         self._clock = clock
 
     def process(self, message: ListResult) -> None:
-        """Take a list."""
+        """Update the inventory from a list."""
         for row in message.machines:
             if self._inventory.is_gone(row.name):
                 continue
             if row.phase == "failed":
-                self._take_failed(row)
+                self._process_failed(row)
             else:
-                self._take_present(row)
+                self._process_present(row)
 
-    def _take_failed(self, row: ListedMachine) -> None:
+    def _process_failed(self, row: ListedMachine) -> None:
         machine = self._inventory.machines.get(row.name)
         if machine is None:
             machine = self._adopt(row, "booting")
-        self._releaser.release(machine, "failed")
+        self._releaser.release(machine, "the cloud lists it as failed")
 
-    def _take_present(self, row: ListedMachine) -> None:
+    def _process_present(self, row: ListedMachine) -> None:
         machine = self._inventory.machines.get(row.name)
         if machine is None:
-            # One that runs may have had its say to the leader before us; it is not late in
-            # coming up, and if it is dead its silence will show.
+            # A running machine may have reported to the previous leader. It counts as up, so that
+            # it is not released as late to boot; if it is dead, it will be found silent.
             machine = self._adopt(row, "up" if row.phase == "running" else "booting")
             machine.rented_at_us = self._clock.now_us() - to_us(row.rented_for_s)
             log.info(
-                "machine %s (%s, %s) listed, not known: taken over", row.name, row.type, row.zone
+                "machine %s (%s, %s) is listed but not known: added to the inventory",
+                row.name,
+                row.type,
+                row.zone,
             )
         elif machine.known_from_record_only:
             machine.known_from_record_only = False
--- a/mosswalk/fleet/offers.py
+++ b/mosswalk/fleet/offers.py
@@ -1,4 +1,4 @@
-"""Room on the machines, and its offering to the teams in turn."""
+"""Tracks free capacity by machine and plans which of it to offer to the team owners."""
 
 from __future__ import annotations
 
@@ -26,25 +26,26 @@
 
 log = logging.getLogger(__name__)
 
-_RESERVED_US = 5 * SECOND_US
-_COOL_US = 500_000
-# Room kept for an overdue job is chosen anew after this.
-_KEPT_US = 10 * SECOND_US
+_RESERVATION_US = 5 * SECOND_US
+# How long a team gets no offer after its owner has placed nothing on the last one.
+_UNUSED_OFFER_PAUSE_US = 500_000
+# A claim for an overdue job expires after this; another machine may be chosen then.
+_OVERDUE_CLAIM_US = 10 * SECOND_US
 
 
 class _Reservation(Struct):
-    """Room offered to an owner and not yet seen in the records."""
+    """Capacity that was offered to an owner and is not yet visible in the records."""
 
     node: str
     teams: tuple[str, ...]
-    slots: list[MachineOffer]
-    until_us: int
-    # Set once the owner has answered: the room is free again when the mirror has got there.
+    machine_offers: list[MachineOffer]
+    expires_at_us: int
+    # Set once the owner has answered: the reservation ends when the mirror has reached it.
     revision: int | None = None
 
 
 class OfferPlanner:
-    """What is free where, what of it is offered, and to whom."""
+    """Keeps the free capacity by machine, its reservations and claims, and plans offers."""
 
     def __init__(
         self,
@@ -53,50 +54,51 @@
         registry: JobRegistry,
         inventory: Inventory,
         leadership: Leadership,
-        renting: FleetScaler,
+        scaler: FleetScaler,
         clock: Clock,
-        failed_on: Mapping[str, set[str]],
+        failed_machines_by_job: Mapping[str, set[str]],
     ) -> None:
         self._mirror = mirror
         self._registry = registry
         self._inventory = inventory
         self._leadership = leadership
-        self._scaler = renting
+        self._scaler = scaler
         self._clock = clock
-        self._failed_on = failed_on
-        self._urgency = QueueOrder(settings.params.objectives, settings.params.teams)
+        self._failed_machines_by_job = failed_machines_by_job
+        self._queue_order = QueueOrder(settings.params.objectives, settings.params.teams)
         self._teams = {team.name: team for team in settings.params.teams}
         self._shares = {
             name: settings.tuning.shares.get(name) or max(1.0, team.cpus)
             for name, team in self._teams.items()
         }
-        self._silent_us = to_us(
+        self._silent_after_us = to_us(
             settings.tuning.fleet.silent_reports * settings.params.workers.report_s
         )
         self._reservations: list[_Reservation] = []
-        self._cool: dict[str, int] = {}
+        self._paused_until_us: dict[str, int] = {}
         self._claims: dict[str, tuple[int, frozenset[str]]] = {}
-        # Room by machine, built anew only for machines of which something has changed: a plan
-        # costs by what changed, not by how many machines there are.
-        self._rooms: dict[str, FreeCapacity | None] = {}
+        # Free capacity by machine; None if nothing may be placed there. It is computed anew only
+        # for machines that have changed, so that the cost of a plan depends on the number of
+        # changes and not on the number of machines.
+        self._capacities: dict[str, FreeCapacity | None] = {}
         self._changed: set[str] = set()
         self._cordoned: set[str] = set()
-        self._reserved: dict[str, list[MachineOffer]] = {}
+        self._reserved_by_machine: dict[str, list[MachineOffer]] = {}
         registry.on_machine_changed.append(self.mark_changed)
 
     def reset(self) -> None:
-        """Forget all: another controller leads."""
+        """Discard reservations and free capacities: another controller leads."""
         self._reservations.clear()
-        self._reserved.clear()
-        self._rooms.clear()
+        self._reserved_by_machine.clear()
+        self._capacities.clear()
         self._changed.clear()
 
     def mark_changed(self, name: str) -> None:
-        """Something about a machine has changed."""
+        """Have a machine's free capacity computed anew at its next use."""
         self._changed.add(name)
 
     def mark_periodic_changes(self) -> None:
-        """See to what changes by time alone, or for all machines at once."""
+        """Mark machines changed by time alone or by a new set of cordoned machines."""
         now_us = self._clock.now_us()
         for name in [n for n, (until_us, _) in self._claims.items() if until_us < now_us]:
             del self._claims[name]
@@ -104,58 +106,62 @@
         self._changed |= self._cordoned ^ self._scaler.cordoned
         self._cordoned = self._scaler.cordoned
         for name, machine in self._inventory.machines.items():
-            room = self._rooms.get(name)
-            if name not in self._rooms or (room is not None and self.is_silent(machine)):
+            capacity = self._capacities.get(name)
+            if name not in self._capacities or (capacity is not None and self.is_silent(machine)):
                 self.mark_changed(name)
 
     def is_silent(self, machine: Machine) -> bool:
-        """Whether a machine has not been heard of for too long to place anything on it."""
-        return self._clock.now_us() - machine.last_seen_at_us > self._silent_us
+        """Return whether a machine has not reported for too long to place anything on it."""
+        return self._clock.now_us() - machine.last_seen_at_us > self._silent_after_us
 
     def free_capacities(self) -> list[FreeCapacity]:
-        """What is free on every machine that may be used. To be copied before it is changed."""
+        """Return the free capacity of every usable machine.
+
+        The caller copies an item before it changes it.
+        """
         changed, self._changed = self._changed, set()
         for name in sorted(changed):
             machine = self._inventory.machines.get(name)
             if machine is None:
-                self._rooms.pop(name, None)
+                self._capacities.pop(name, None)
             else:
-                self._rooms[name] = self._build(machine)
-        return [room for room in self._rooms.values() if room is not None]
+                self._capacities[name] = self._build(machine)
+        return [capacity for capacity in self._capacities.values() if capacity is not None]
 
     def free_capacity(self, machine: Machine) -> FreeCapacity | None:
-        """What is free on a machine; None if nothing may be placed there."""
-        if machine.name in self._changed or machine.name not in self._rooms:
+        """Return the free capacity of a machine; None if nothing may be placed there."""
+        if machine.name in self._changed or machine.name not in self._capacities:
             self._changed.discard(machine.name)
-            self._rooms[machine.name] = self._build(machine)
-        return self._rooms[machine.name]
+            self._capacities[machine.name] = self._build(machine)
+        return self._capacities[machine.name]
 
     def claim(self, machine: str, until_us: int, job_id: str) -> None:
-        """Keep room that is being freed on a machine for the job it is freed for."""
-        self._claims[machine] = (until_us, self._claimants(machine) | {job_id})
+        """Hold capacity of a machine for a job until an instant, besides earlier claims on it."""
+        self._claims[machine] = (until_us, self._claiming_jobs(machine) | {job_id})
         self.mark_changed(machine)
 
     def is_reserved(self, name: str) -> bool:
-        """Whether room on a machine is offered just now."""
-        return name in self._reserved
+        """Return whether capacity of a machine is reserved."""
+        return name in self._reserved_by_machine
 
     def on_answer(self, node: str, answer: OfferAnswer | None) -> None:
-        """An owner has answered, or has not."""
+        """Process an owner's answer to an offer; None if no answer came."""
         now_us = self._clock.now_us()
         for reservation in self._reservations:
             if reservation.node == node and reservation.revision is None:
                 if answer is None:
-                    # The owner may still be placing on it: keep the room until it runs out.
+                    # The owner may still be placing tasks: the reservation stays until it expires.
                     continue
                 reservation.revision = answer.revision
                 if answer.placed == 0:
                     for team in reservation.teams:
-                        self._cool[team] = now_us + _COOL_US
+                        self._paused_until_us[team] = now_us + _UNUSED_OFFER_PAUSE_US
 
     def attempts_using_capacity(self, machine: Machine) -> Iterator[AttemptKey]:
-        """The attempts that may take room: all but those whose exit the worker has reported.
+        """Yield the attempts on a machine except those whose exit the worker has reported.
 
-        The records show an exit later, as writes are scarce; its room need not wait for that.
+        The records show an exit later, as their write rate is limited; the capacity is free as
+        soon as the exit is reported.
         """
         attempts = self._registry.attempts_on(machine.name)
         if not machine.exited_tasks:
@@ -165,7 +171,7 @@
             if (task_name(key[0], key[1]), key[2]) not in machine.exited_tasks:
                 yield key
 
-    def _note_use(self, machine: Machine, running: list[Job]) -> None:
+    def _update_usage(self, machine: Machine, running: list[Job]) -> None:
         machine.used_cpus = sum(job.cpus for job in running)
         machine.used_memory = sum(job.memory for job in running)
         machine.has_replica = any(job.spec.kind == "daemon" for job in running)
@@ -179,10 +185,10 @@
     def _build(self, machine: Machine) -> FreeCapacity | None:
         jobs = self._registry.jobs
         running = [jobs[key[0]] for key in self.attempts_using_capacity(machine) if key[0] in jobs]
-        self._note_use(machine, running)
-        shape = self._inventory.types.get(machine.type)
+        self._update_usage(machine, running)
+        machine_type = self._inventory.types.get(machine.type)
         if (
-            shape is None
+            machine_type is None
             or machine.phase != "up"
             or machine.known_from_record_only
             or not machine.has_acknowledged_leader
@@ -193,107 +199,111 @@
             or self.is_silent(machine)
         ):
             return None
-        price = shape.spot_price if machine.spot else shape.price
-        room = FreeCapacity(
+        price = machine_type.spot_price if machine.spot else machine_type.price
+        capacity = FreeCapacity(
             machine=machine.name,
             type=machine.type,
             zone=machine.zone,
             spot=machine.spot,
             session=machine.session,
-            cpus=milli_floor(shape.cpus),
-            gpus=milli_floor(shape.gpus),
-            memory=milli_floor(shape.memory_gb),
+            cpus=milli_floor(machine_type.cpus),
+            gpus=milli_floor(machine_type.gpus),
+            memory=milli_floor(machine_type.memory_gb),
             images=frozenset(machine.cached_images),
-            core_price=price / max(1.0, shape.cpus),
-            fetch_s_per_gb=1.0 / max(0.001, shape.fetch_gb_per_s),
+            core_price=price / max(1.0, machine_type.cpus),
+            fetch_s_per_gb=1.0 / max(0.001, machine_type.fetch_gb_per_s),
             cordoned=machine.name in self._scaler.cordoned,
-            claimed_by=self._claimants(machine.name),
+            claimed_by=self._claiming_jobs(machine.name),
         )
         for job in running:
-            room.allocate(job)
-        for slot in self._reserved.get(machine.name, ()):
-            room.cpus -= slot.cpus
-            room.gpus -= slot.gpus
-            room.memory -= slot.memory
-        return room
-
-    def _claimants(self, name: str) -> frozenset[str]:
+            capacity.allocate(job)
+        for offer in self._reserved_by_machine.get(machine.name, ()):
+            capacity.cpus -= offer.cpus
+            capacity.gpus -= offer.gpus
+            capacity.memory -= offer.memory
+        return capacity
+
+    def _claiming_jobs(self, name: str) -> frozenset[str]:
         until_us, jobs = self._claims.get(name, (0, frozenset()))
         return jobs if self._clock.now_us() < until_us else frozenset()
 
-    def _keep_room(self, queues: Iterable[TeamQueue], rooms: list[FreeCapacity]) -> None:
-        until_us = self._clock.now_us() + _KEPT_US
+    def _claim_for_overdue_jobs(
+        self, queues: Iterable[TeamQueue], capacities: list[FreeCapacity]
+    ) -> None:
+        until_us = self._clock.now_us() + _OVERDUE_CLAIM_US
         for queue in queues:
             for job in queue.unschedulable:
                 if not queue.is_overdue(job) or any(job.id in c[1] for c in self._claims.values()):
                     continue
-                shapes = {
+                fitting_types = {
                     n for n, t in self._inventory.types.items() if fits_machine_type(job.spec, t)
                 }
-                kept = capacity_to_claim(job, rooms, shapes)
-                if kept is not None:
-                    log.info("keeping room on %s for %s, overdue", kept.machine, job.id)
-                    self.claim(kept.machine, until_us, job.id)
+                capacity = capacity_to_claim(job, capacities, fitting_types)
+                if capacity is not None:
+                    log.info("claiming capacity of %s for overdue job %s", capacity.machine, job.id)
+                    self.claim(capacity.machine, until_us, job.id)
 
-    def _drop_reservations(self) -> None:
+    def _remove_ended_reservations(self) -> None:
         now_us = self._clock.now_us()
-        kept = [
+        remaining = [
             r
             for r in self._reservations
-            if (r.revision is None and now_us < r.until_us)
+            if (r.revision is None and now_us < r.expires_at_us)
             or (
                 r.revision is not None
                 and r.node != self._leadership.node
                 and self._mirror.revision < r.revision
             )
         ]
-        if len(kept) < len(self._reservations):
-            self._reservations = kept
-            self._note_reserved()
+        if len(remaining) < len(self._reservations):
+            self._reservations = remaining
+            self._index_reservations()
 
-    def _note_reserved(self) -> None:
-        for name in self._reserved:
+    def _index_reservations(self) -> None:
+        for name in self._reserved_by_machine:
             self.mark_changed(name)
-        self._reserved = {}
+        self._reserved_by_machine = {}
         for reservation in self._reservations:
-            for slot in reservation.slots:
-                self._reserved.setdefault(slot.machine, []).append(slot)
-        for name in self._reserved:
+            for offer in reservation.machine_offers:
+                self._reserved_by_machine.setdefault(offer.machine, []).append(offer)
+        for name in self._reserved_by_machine:
             self.mark_changed(name)
 
     @staticmethod
-    def _add_slot(slots: dict[tuple[str, str], MachineOffer], job: Job, room: FreeCapacity) -> None:
-        """Offer a task's part of a room to its team."""
-        key = (job.spec.team, room.machine)
-        before = slots.get(key)
-        slots[key] = MachineOffer(
-            room.machine,
-            room.type,
-            room.zone,
-            room.spot,
-            room.session,
-            job.cpus + (before.cpus if before else 0),
-            job.gpus + (before.gpus if before else 0),
-            job.memory + (before.memory if before else 0),
-            tuple(room.images),
-            room.core_price,
-            room.fetch_s_per_gb,
+    def _add_task(
+        machine_offers: dict[tuple[str, str], MachineOffer], job: Job, capacity: FreeCapacity
+    ) -> None:
+        """Add the capacity for one task of a job to what its team is offered on a machine."""
+        key = (job.spec.team, capacity.machine)
+        earlier = machine_offers.get(key)
+        machine_offers[key] = MachineOffer(
+            capacity.machine,
+            capacity.type,
+            capacity.zone,
+            capacity.spot,
+            capacity.session,
+            job.cpus + (earlier.cpus if earlier else 0),
+            job.gpus + (earlier.gpus if earlier else 0),
+            job.memory + (earlier.memory if earlier else 0),
+            tuple(capacity.images),
+            capacity.core_price,
+            capacity.fetch_s_per_gb,
         )
 
     def plan(self) -> list[tuple[str, Offer]]:
-        """Offer free room to the teams in turn: a message for each owner that gets some."""
+        """Divide free capacity among the teams; return an offer for each owner that gets some."""
         term = self._leadership.term
         if term is None or not self._leadership.may_start_tasks():
             return []
         now_us = self._clock.now_us()
-        self._drop_reservations()
+        self._remove_ended_reservations()
         busy = {r.node for r in self._reservations} | self._leadership.suspected()
         unplaced = self._registry.unplaced
         if not any(unplaced.values()):
-            # In calm times most plans find nothing to place: no need to look at the machines.
+            # Mostly there is nothing to place, and the machines need not be examined.
             self._scaler.clear_blocked_jobs()
             return []
-        rooms = self.free_capacities()
+        capacities = self.free_capacities()
         usage = self._registry.usage()
         zones = self._inventory.zones_by_machine()
         queues = [
@@ -302,28 +312,28 @@
                 unplaced.get(name, {}).values(),
                 usage.get(name) or Usage(),
                 zones,
-                self._failed_on,
+                self._failed_machines_by_job,
                 {},
-                self._urgency,
+                self._queue_order,
                 self._clock.wall_us(),
             )
             for name, team in self._teams.items()
-            if term.owners.get(name) not in busy and self._cool.get(name, 0) <= now_us
+            if term.owners.get(name) not in busy and self._paused_until_us.get(name, 0) <= now_us
         ]
-        slots: dict[tuple[str, str], MachineOffer] = {}
-        for placing in place_across_teams(queues, rooms, self._shares):
-            for _, room in placing.task_capacities():
-                self._add_slot(slots, placing.job, room)
+        machine_offers: dict[tuple[str, str], MachineOffer] = {}
+        for placement in place_across_teams(queues, capacities, self._shares):
+            for _, capacity in placement.task_capacities():
+                self._add_task(machine_offers, placement.job, capacity)
         self._scaler.record_blocked_jobs(queues)
-        self._keep_room(queues, rooms)
+        self._claim_for_overdue_jobs(queues, capacities)
         by_node: dict[str, dict[str, list[MachineOffer]]] = {}
-        for (team, _), slot in slots.items():
+        for (team, _), machine_offer in machine_offers.items():
             node = term.owners.get(team)
             if node is not None:
-                by_node.setdefault(node, {}).setdefault(team, []).append(slot)
+                by_node.setdefault(node, {}).setdefault(team, []).append(machine_offer)
         offers: list[tuple[str, Offer]] = []
         for node, teams in by_node.items():
-            bound = {
+            zone_rule_machines = {
                 attempt.machine
                 for team in teams
                 for job in unplaced[team].values()
@@ -332,12 +342,15 @@
             }
             offer = Offer(
                 term.term,
-                tuple(TeamOffer(t, tuple(s)) for t, s in teams.items()),
-                {machine: zones[machine] for machine in bound if machine in zones},
+                tuple(TeamOffer(team, tuple(group)) for team, group in teams.items()),
+                {machine: zones[machine] for machine in zone_rule_machines if machine in zones},
+            )
+            reserved = [machine_offer for group in teams.values() for machine_offer in group]
+            self._reservations.append(
+                _Reservation(node, tuple(teams), reserved, now_us + _RESERVATION_US)
             )
-            flat = [slot for group in teams.values() for slot in group]
-            self._reservations.append(_Reservation(node, tuple(teams), flat, now_us + _RESERVED_US))
             offers.append((node, offer))
-        # Rooms the turns took from are among these, so they are built anew.
-        self._note_reserved()
+        # place_across_teams has allocated from the cached capacities. Their machines are marked as
+        # changed here, so their capacity is computed anew.
+        self._index_reservations()
         return offers
--- a/mosswalk/fleet/overdue_machines.py
+++ b/mosswalk/fleet/overdue_machines.py
@@ -1,4 +1,7 @@
-"""Which machines the leader gives up: it releases them, and the cloud's answer is the proof."""
+"""Which machines the leader releases as overdue.
+
+The cloud's answer to the release proves that nothing runs on them any more.
+"""
 
 from __future__ import annotations
 
@@ -15,12 +18,12 @@
 )
 from mosswalk.leadership.actor import Leadership
 
-# How long workers may take to find their way to a new leader, or back after a cut.
+# How long workers may take to find a new leader, or to reconnect after a network cut.
 WORKER_RECONNECT_US = 8 * SECOND_US
 
 
 class OverdueMachines:
-    """Looks for machines that say nothing, do nothing, or never came up."""
+    """Finds machines that are silent, unresponsive to commands or late to boot."""
 
     def __init__(
         self, settings: Settings, inventory: Inventory, leadership: Leadership, clock: Clock
@@ -37,22 +40,23 @@
         self._inventory = inventory
         self._leadership = leadership
         self._clock = clock
-        # Where each controller is.
-        self._controllers = {peer.host_name: peer.zone for peer in settings.known}
-        self._controllers[settings.host_name] = settings.zone
-        # When a zone had no controller that could be seen, and when many machines were quiet in it.
-        self._unseen_us: dict[str, int] = {}
-        self._quiet_us: dict[str, int] = {}
+        # The zone of each controller.
+        self._zone_by_controller = {peer.host_name: peer.zone for peer in settings.known}
+        self._zone_by_controller[settings.host_name] = settings.zone
+        # By zone, when it last had no controller in sight, and when last many machines there were
+        # late to report.
+        self._no_controller_at_us: dict[str, int] = {}
+        self._many_late_at_us: dict[str, int] = {}
 
     def reset(self) -> None:
-        """Forget all: another controller leads."""
-        self._unseen_us.clear()
-        self._quiet_us.clear()
+        """Discard all state: another controller leads."""
+        self._no_controller_at_us.clear()
+        self._many_late_at_us.clear()
 
     def overdue(self, since_us: int) -> Iterator[tuple[Machine, str]]:
-        """Machines to release now, and why; silences are counted from an instant on."""
+        """Yield the machines to release now and why; silence counts from ``since_us`` on."""
         now_us = self._clock.now_us()
-        # One that does not carry out what it is told is as bad as one that says nothing.
+        # A machine that does not execute commands is treated like one that does not report.
         silences = {
             m.name: now_us
             - max(since_us, min(m.last_seen_at_us, m.not_receiving_since_us or m.last_seen_at_us))
@@ -64,37 +68,42 @@
             if is_reclaimed(
                 silences[name], machine.spot_notice_until_us, now_us, self.silence_limits
             ):
-                yield machine, "its notice is over"
-                # Its silence says nothing of a cut.
+                yield machine, "its spot notice has expired"
+                # Its silence is no sign of a network cut.
                 del silences[name]
         yield from self._silent(silences)
         for machine in list(self._inventory.machines.values()):
-            shape = self._inventory.types.get(machine.type)
-            if machine.phase == "up" or machine.releasing or shape is None:
+            machine_type = self._inventory.types.get(machine.type)
+            if machine.phase == "up" or machine.releasing or machine_type is None:
                 continue
             if now_us - machine.phase_since_us < WORKER_RECONNECT_US:
                 continue
-            if now_us - machine.rented_at_us > self._boot_patience * to_us(shape.boot_s):
-                yield machine, "never came up"
+            if now_us - machine.rented_at_us > self._boot_patience * to_us(machine_type.boot_s):
+                yield machine, "did not boot in time"
 
     def _silent(self, silences: dict[str, int]) -> Iterator[tuple[Machine, str]]:
         zone_of = {name: self._inventory.machines[name].zone for name in silences}
-        # When a cut heals, most are heard again before the last one: seen on a standard day, a
-        # third of a zone was released in that second, as if each of them had fallen silent alone.
-        quiet = self._lately(
-            self._quiet_us, zones_with_many_late(silences, self.silence_limits, zone_of)
-        )
-        unseen = set(self._controllers.values()) - self._leadership.zones_with_controller(
-            self._controllers
+        # When a network cut heals, most machines are heard again before the last one, and the zone
+        # no longer has many late ones. Without the delay of _recent_zones, a third of a zone was
+        # released in that second, as if each machine had become silent on its own.
+        late_zones = self._recent_zones(
+            self._many_late_at_us, zones_with_many_late(silences, self.silence_limits, zone_of)
         )
-        cut_off = self._lately(self._unseen_us, unseen)
-        for name in machines_to_release(silences, self.silence_limits, zone_of, quiet, cut_off):
+        zones_without_controller = set(
+            self._zone_by_controller.values()
+        ) - self._leadership.zones_with_controller(self._zone_by_controller)
+        cut_off_zones = self._recent_zones(self._no_controller_at_us, zones_without_controller)
+        for name in machines_to_release(
+            silences, self.silence_limits, zone_of, late_zones, cut_off_zones
+        ):
             machine = self._inventory.machines[name]
-            what = "silent" if machine.not_receiving_since_us is None else "does not hear"
-            yield machine, f"{what} for {silences[name] / SECOND_US:.1f} s"
+            state = (
+                "silent" if machine.not_receiving_since_us is None else "unresponsive to commands"
+            )
+            yield machine, f"{state} for {silences[name] / SECOND_US:.1f} s"
 
-    def _lately(self, seen_us: dict[str, int], zones: Iterable[str]) -> set[str]:
-        """Zones of which something is so, or was until workers can have found their way back."""
+    def _recent_zones(self, last_at_us: dict[str, int], zones: Iterable[str]) -> set[str]:
+        """Record the zones now in a state; return those in it within the reconnect time."""
         now_us = self._clock.now_us()
-        seen_us.update(dict.fromkeys(zones, now_us))
-        return {zone for zone, at_us in seen_us.items() if now_us - at_us < WORKER_RECONNECT_US}
+        last_at_us.update(dict.fromkeys(zones, now_us))
+        return {zone for zone, at_us in last_at_us.items() if now_us - at_us < WORKER_RECONNECT_US}
--- a/mosswalk/fleet/record_maintenance.py
+++ b/mosswalk/fleet/record_maintenance.py
@@ -1,4 +1,4 @@
-"""Records that the leader keeps in order: the machine types, and what is left of jobs."""
+"""Records that the leader maintains: the machine types and the chunks of ended jobs."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 
 
 def _without_prices(types: tuple[MachineType, ...]) -> bytes:
-    # They move, and do not matter to others.
+    # Prices change often, and other controllers don't need them.
     return records.encode([structs.replace(t, price=0.0, spot_price=0.0) for t in types])
 
 
 class RecordMaintenance:
-    """Every write is guarded by the term, and by what it is about."""
+    """Writes the leader's records; each write is guarded by the term and the record concerned."""
 
     def __init__(
         self,
@@ -34,18 +34,18 @@
         writer: GroupWriter,
         leadership: Leadership,
     ) -> None:
-        self._ops = settings.params.state.txn_ops
+        self._max_txn_ops = settings.params.state.txn_ops
         self._mirror = mirror
         self._registry = registry
         self._writer = writer
         self._leadership = leadership
 
     def machine_types_recorded(self, types: tuple[MachineType, ...]) -> bool:
-        """Whether these are the types that others judge submissions by."""
+        """Return whether these are the recorded types, used by controllers to check submissions."""
         return self._mirror.value(records.MACHINE_TYPES_KEY) == _without_prices(types)
 
     async def write_machine_types(self, types: tuple[MachineType, ...]) -> bool:
-        """Write what others judge submissions by; whether that worked."""
+        """Record the types that controllers check submissions by; return whether that worked."""
         guards = {
             records.MACHINE_TYPES_KEY: self._mirror.version(records.MACHINE_TYPES_KEY),
             records.TERM_KEY: self._leadership.term_version,
@@ -60,16 +60,16 @@
         return True
 
     async def remove_orphaned_chunks(self) -> None:
-        """Remove chunks of jobs that are over; their removal is not part of the job's end."""
+        """Remove chunks of ended jobs, which the transaction that ends a job leaves behind."""
         orphans = self._registry.orphaned_chunks()
-        for start in range(0, len(orphans), self._ops):
-            some = orphans[start : start + self._ops]
-            # When all keys are read anew, a new job's chunks may be seen before its header: only
-            # the state service knows that there is none.
+        for start in range(0, len(orphans), self._max_txn_ops):
+            batch = orphans[start : start + self._max_txn_ops]
+            # While all keys are read anew, a new job's chunks may be seen before its header. Only
+            # the state service can tell that there is no header, so the write is guarded by it.
             guards = {records.TERM_KEY: self._leadership.term_version}
-            guards.update((records.job_key(orphan.job), orphan.version) for orphan in some)
+            guards.update((records.job_key(orphan.job), orphan.version) for orphan in batch)
             try:
-                await self._writer.commit(Change(guards, {}, tuple(o.key for o in some)))
+                await self._writer.commit(Change(guards, {}, tuple(o.key for o in batch)))
             except (ConflictError, RefusedError, UnknownOutcomeError) as error:
-                log.info("orphans not removed: %s", error)
+                log.info("orphaned chunks not removed: %s", error)
                 return
--- a/mosswalk/fleet/renting.py
+++ b/mosswalk/fleet/renting.py
@@ -1,4 +1,4 @@
-"""The leader's view of demand and machines for the factory, and what the factory decides."""
+"""Passes the leader's view of tasks and machines to the factory and returns its decisions."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 
 log = logging.getLogger(__name__)
 
-_CORDON_US = 2 * SECOND_US
+_CORDON_PERIOD_US = 2 * SECOND_US
 # How long machines for a gang are rented in one zone before the next is tried.
-_ZONE_TURN_US = 30 * SECOND_US
+_GANG_ZONE_PERIOD_US = 30 * SECOND_US
 
 
 class FleetScaler:
-    """Shows the factory what there is, and keeps what it has asked for."""
+    """Gives the factory its view of the fleet and keeps track of the rentals it has requested."""
 
     def __init__(
         self, settings: Settings, inventory: Inventory, registry: JobRegistry, clock: Clock
@@ -40,120 +40,125 @@
         self.reset()
 
     def reset(self) -> None:
-        """Forget everything: another controller led meanwhile."""
+        """Discard all state: another controller has led meanwhile."""
         self._factory = Factory(self._tuning)
-        self._stuck: dict[str, list[Job]] = {}
-        self._stuck_since: dict[str, int] = {}
+        self._blocked_jobs: dict[str, list[Job]] = {}
+        self._blocked_since_us: dict[str, int] = {}
         self._gang_zones: dict[str, list[str]] = {}
         self.cordoned: set[str] = set()
-        self._to_cordon: set[str] = set()
-        self._cordoned_us = -_CORDON_US
-        # Rentals asked for and not yet answered: they count as requested machines, or a slow
-        # cloud would be asked for the same again each period.
-        self._asked: Counter[Pool] = Counter()
+        self._chosen_to_cordon: set[str] = set()
+        self._cordon_chosen_at_us = -_CORDON_PERIOD_US
+        # Requested rentals without an answer yet. They count as requested machines, or the factory
+        # would request the same machines again each period while the cloud is slow to answer.
+        self._pending_rentals: Counter[Pool] = Counter()
 
     def record_blocked_jobs(self, queues: Iterable[TeamQueue]) -> None:
-        """Jobs whose next task found no room.
+        """Record the jobs of which the next task fits nowhere.
 
-        Teams whose owner is busy keep what was found last time: a gap would restart the
-        factory's dwell and every job's silence_limits.
+        Teams whose owner is busy keep the jobs recorded last time: a gap would restart the
+        factory's dwell times and every job's waiting time.
         """
         now_us = self._clock.now_us()
-        self._stuck.update({queue.team.name: queue.unschedulable for queue in queues})
-        self._stuck_since = {
-            job.id: self._stuck_since.get(job.id, now_us)
-            for stuck in self._stuck.values()
-            for job in stuck
+        self._blocked_jobs.update({queue.team.name: queue.unschedulable for queue in queues})
+        self._blocked_since_us = {
+            job.id: self._blocked_since_us.get(job.id, now_us)
+            for jobs in self._blocked_jobs.values()
+            for job in jobs
         }
 
     def has_blocked_gangs(self) -> bool:
-        """Whether gangs that others may be stopped for found no room."""
+        """Return whether a gang is blocked for which other attempts may be stopped."""
         return any(
-            job.is_gang and job.rank < IDLE_RANK for jobs in self._stuck.values() for job in jobs
+            job.is_gang and job.rank < IDLE_RANK
+            for jobs in self._blocked_jobs.values()
+            for job in jobs
         )
 
     def clear_blocked_jobs(self) -> None:
-        """All that may be placed has been."""
-        self._stuck.clear()
-        self._stuck_since.clear()
+        """Discard the blocked jobs: no task waits for a machine."""
+        self._blocked_jobs.clear()
+        self._blocked_since_us.clear()
 
     def waiting_tasks(self) -> list[WaitingTasks]:
-        """Tasks that found no room, as far as their team's limit lets them run."""
+        """Return the tasks of blocked jobs, as far as their teams' limits let them run."""
         zones = self._inventory.zones_by_machine()
         usage = self._registry.usage()
         waiting: list[WaitingTasks] = []
-        for stuck in [job for jobs in self._stuck.values() for job in jobs]:
-            job = self._registry.jobs.get(stuck.id)
+        for blocked in [job for jobs in self._blocked_jobs.values() for job in jobs]:
+            job = self._registry.jobs.get(blocked.id)
             if job is None:
                 continue
             team = self._teams.get(job.spec.team)
             rule = zone_rule(job, zones)
             if team is None or rule is None or not job.open:
                 continue
-            own = usage.setdefault(team.name, Usage())
-            guaranteed = fits_quota(team, own, job, against_limit=False)
-            patient = self._patient(job, guaranteed)
-            count = max_tasks_within_limit(team, own, job, job.pending_count())
-            own.add(job, count)
+            team_usage = usage.setdefault(team.name, Usage())
+            guaranteed = fits_quota(team, team_usage, job, against_limit=False)
+            waits_for_spot = self._should_wait_for_spot(job, guaranteed)
+            count = max_tasks_within_limit(team, team_usage, job, job.pending_count())
+            team_usage.add(job, count)
             if not count:
                 continue
             if job.is_gang and job.spec.one_zone:
-                # Machines for a part of it in each zone would be of no use.
+                # Machines for parts of the gang in several zones would be of no use.
                 rule.add(self._zone_for(job), 0)
-            # A gang can't use the room that others leave bit by bit.
+            # A gang can't use the small amounts of capacity that others free one by one.
             urgent = guaranteed or job.rank == 0 or job.is_gang
-            waiting.append(WaitingTasks(job, count, rule, patient, urgent))
-        self._gang_zones = {j: z for j, z in self._gang_zones.items() if j in self._stuck_since}
+            waiting.append(WaitingTasks(job, count, rule, waits_for_spot, urgent))
+        self._gang_zones = {
+            j: z for j, z in self._gang_zones.items() if j in self._blocked_since_us
+        }
         return waiting
 
     def _zone_for(self, job: Job) -> str:
-        """The zone to rent in for a gang that must be in one: where most machines are.
+        """Return the zone to rent in for a gang that must run in one: that with most machines.
 
-        If it still waits after a while, there may be none to be had: another one's turn.
+        If the gang still waits after a while, the zone may have no machines left to rent, so the
+        next zone is tried.
         """
         zones = self._gang_zones.get(job.id)
         if not zones:
-            there = Counter(
+            machines_by_zone = Counter(
                 m.zone
                 for m in self._inventory.machines.values()
                 if not m.releasing and not m.known_from_record_only
             )
-            fitting = {
+            fitting_zones = {
                 zone
-                for shape in self._inventory.types.values()
-                if fits_machine_type(job.spec, shape)
-                for zone in shape.zones
+                for machine_type in self._inventory.types.values()
+                if fits_machine_type(job.spec, machine_type)
+                for zone in machine_type.zones
                 if job.spec.zone in (None, zone)
             }
-            zones = sorted(fitting, key=lambda zone: (-there[zone], zone)) or [""]
+            zones = sorted(fitting_zones, key=lambda zone: (-machines_by_zone[zone], zone)) or [""]
             self._gang_zones[job.id] = zones
         now_us = self._clock.now_us()
-        waited_us = now_us - self._stuck_since.get(job.id, now_us)
-        return zones[waited_us // _ZONE_TURN_US % len(zones)]
+        waited_us = now_us - self._blocked_since_us.get(job.id, now_us)
+        return zones[waited_us // _GANG_ZONE_PERIOD_US % len(zones)]
 
-    def _patient(self, job: Job, guaranteed: bool) -> bool:
-        """Whether a job's tasks can wait for spot machines to come free or be rented."""
+    def _should_wait_for_spot(self, job: Job, guaranteed: bool) -> bool:
+        """Return whether a job's tasks can wait until spot machines are free or rented."""
         if not job.spec.spot or job.rank < 2 or guaranteed:
             return False
         now_us = self._clock.now_us()
-        waited_us = now_us - self._stuck_since.get(job.id, now_us)
+        waited_us = now_us - self._blocked_since_us.get(job.id, now_us)
         boot_s = max((t.boot_s for t in self._inventory.types.values()), default=0.0)
-        # What counts for the work is when a steady machine would be up, so a slow boot leaves
-        # less silence_limits. Idle work waits twice as long: nobody is held up by it.
-        patience_s = self._tuning.steady_within_s * (job.rank - 1) - boot_s
-        if waited_us >= to_us(patience_s):
+        # An on-demand machine is to be up within the limit, so the time to boot shortens the wait.
+        # Jobs of class idle wait twice as long, as no user waits for them.
+        max_wait_s = self._tuning.steady_within_s * (job.rank - 1) - boot_s
+        if waited_us >= to_us(max_wait_s):
             return False
-        # Estimates are often short by half.
+        # Tasks often run half as long again as estimated.
         needed_us = to_us(1.5 * job.spec.estimate_s + boot_s)
         return job.deadline_at_us() - self._clock.wall_us() > needed_us
 
-    def _view(self, waiting: list[WaitingTasks], calls: int) -> FleetView:
+    def _view(self, waiting: list[WaitingTasks], calls_left: int) -> FleetView:
         machines: list[MachineView] = []
         for machine in self._inventory.machines.values():
             if machine.releasing or machine.known_from_record_only:
                 continue
-            shape = self._inventory.types.get(machine.type)
-            load = machine.utilization(shape) if shape is not None else 0.0
+            machine_type = self._inventory.types.get(machine.type)
+            load = machine.utilization(machine_type) if machine_type is not None else 0.0
             machines.append(
                 MachineView(
                     machine.name,
@@ -168,58 +173,61 @@
                 )
             )
         now_us = self._clock.now_us()
-        for pool, count in self._asked.items():
+        for pool, count in self._pending_rentals.items():
             for i in range(count):
-                name = f"asked {i} of {pool}"
+                name = f"pending rental {i} of {pool}"
                 machines.append(
                     MachineView(name, pool, "requested", now_us, now_us, True, None, 0.0)
                 )
-        return FleetView(now_us, self._inventory.types, machines, waiting, calls)
+        return FleetView(now_us, self._inventory.types, machines, waiting, calls_left)
 
-    def _occupancy(self, room_of: Callable[[Machine], FreeCapacity | None]) -> list[Occupancy]:
-        found: list[Occupancy] = []
+    def _occupancy(self, capacity_of: Callable[[Machine], FreeCapacity | None]) -> list[Occupancy]:
+        occupancies: list[Occupancy] = []
         for machine in self._inventory.machines.values():
-            room, shape = room_of(machine), self._inventory.types.get(machine.type)
-            if room is None or shape is None:
+            capacity, machine_type = (
+                capacity_of(machine),
+                self._inventory.types.get(machine.type),
+            )
+            if capacity is None or machine_type is None:
                 continue
-            found.append(
+            occupancies.append(
                 Occupancy(
                     machine.name,
-                    milli_floor(shape.cpus) - room.cpus,
-                    max(0, room.cpus),
-                    milli_floor(shape.memory_gb) - room.memory,
-                    max(0, room.memory),
-                    shape.spot_price if machine.spot else shape.price,
+                    milli_floor(machine_type.cpus) - capacity.cpus,
+                    max(0, capacity.cpus),
+                    milli_floor(machine_type.memory_gb) - capacity.memory,
+                    max(0, capacity.memory),
+                    machine_type.spot_price if machine.spot else machine_type.price,
                     not machine.has_replica,
                 )
             )
-        return found
+        return occupancies
 
-    def on_machine_up(self, machine: Machine, calls: int) -> list[Release]:
-        """A machine reports for the first time; what its rent's other copies give back."""
+    def on_machine_up(self, machine: Machine, calls_left: int) -> list[Release]:
+        """Record a machine's first report; return what to release of its rental group."""
         now_us = self._clock.now_us()
-        took_us = now_us - machine.rented_at_us
+        boot_us = now_us - machine.rented_at_us
         machine.phase = "up"
         machine.phase_since_us = machine.idle_since_us = now_us
         if machine.group is None:
             return []
         pool = (machine.type, machine.zone, machine.spot)
-        self._factory.pools.on_machine_booted(pool, took_us)
+        self._factory.pools.on_machine_booted(pool, boot_us)
         group, machine.group = machine.group, None
         return self._factory.on_copy_booted(
-            group, pool, lambda: self._view(self.waiting_tasks(), calls)
+            group, pool, lambda: self._view(self.waiting_tasks(), calls_left)
         )
 
     def on_rented(self, message: RentResult) -> None:
-        """The cloud has answered a rental."""
+        """Process the cloud's answer to a rental."""
         now_us = self._clock.now_us()
         pool = message.pool
-        self._asked -= Counter({pool: len(message.groups)})
+        self._pending_rentals -= Counter({pool: len(message.groups)})
         if message.machines:
             self._factory.pools.on_rental_granted(pool, now_us)
         if len(message.machines) < len(message.groups):
             log.info(
-                "pool %s: %d of %d to be had",
+                "pool %s: the cloud granted %d of %d machines",
                 "/".join(map(str, pool)),
                 len(message.machines),
                 len(message.groups),
@@ -228,7 +236,7 @@
         for group in message.groups[len(message.machines) :]:
             self._factory.on_copy_refused(group, pool)
         for name, group in zip(message.machines, message.groups, strict=False):
-            log.info("rented %s in %s (group %d)", name, "/".join(map(str, pool)), group)
+            log.info("rented %s in %s (rental group %d)", name, "/".join(map(str, pool)), group)
             if name not in self._inventory.machines and not self._inventory.is_gone(name):
                 machine = Machine(name, *pool, "requested", now_us, now_us)
                 machine.group = group
@@ -237,26 +245,26 @@
     def decide(
         self,
         waiting: list[WaitingTasks],
-        room_of: Callable[[Machine], FreeCapacity | None],
-        calls: int,
-        emptying: set[str],
+        capacity_of: Callable[[Machine], FreeCapacity | None],
+        calls_left: int,
+        draining: set[str],
     ) -> tuple[dict[Pool, tuple[int, ...]], list[Release]]:
-        """One turn of the loops: rents by pool, and machines to return."""
+        """Run the factory once; return rental groups by pool, and machines to release."""
         now_us = self._clock.now_us()
-        if now_us - self._cordoned_us >= _CORDON_US:
-            # It walks and sorts all machines, and what it finds changes slowly.
-            self._cordoned_us = now_us
-            self._to_cordon = choose_machines_to_cordon(self._occupancy(room_of))
-        self.cordoned = self._to_cordon | emptying
-        wanted: dict[Pool, tuple[int, ...]] = {}
-        returned: list[Release] = []
-        for decision in self._factory.decide(self._view(waiting, calls)):
+        if now_us - self._cordon_chosen_at_us >= _CORDON_PERIOD_US:
+            # Choosing looks at all machines and sorts them, and the result changes slowly.
+            self._cordon_chosen_at_us = now_us
+            self._chosen_to_cordon = choose_machines_to_cordon(self._occupancy(capacity_of))
+        self.cordoned = self._chosen_to_cordon | draining
+        groups_by_pool: dict[Pool, tuple[int, ...]] = {}
+        releases: list[Release] = []
+        for decision in self._factory.decide(self._view(waiting, calls_left)):
             if isinstance(decision, Rent):
                 pools = ", ".join("/".join(map(str, p)) for p in decision.pools)
-                log.info("renting, group %d: %s", decision.group, pools)
+                log.info("renting (rental group %d): %s", decision.group, pools)
                 for pool in decision.pools:
-                    wanted[pool] = (*wanted.get(pool, ()), decision.group)
-                    self._asked[pool] += 1
+                    groups_by_pool[pool] = (*groups_by_pool.get(pool, ()), decision.group)
+                    self._pending_rentals[pool] += 1
             else:
-                returned.append(decision)
-        return wanted, returned
+                releases.append(decision)
+        return groups_by_pool, releases
--- a/mosswalk/fleet/stray_machines.py
+++ b/mosswalk/fleet/stray_machines.py
@@ -1,4 +1,4 @@
-"""Calls machines over that still report to the leader before this one."""
+"""Probes machines that may still report to the previous leader."""
 
 from __future__ import annotations
 
@@ -7,21 +7,21 @@
 from mosswalk.fleet.inventory import Inventory, Machine
 from mosswalk.leadership.actor import Leadership
 
-# Workers find a new leader by themselves within this time mostly; then they are called, and again
-# after as long.
-_CALL_AFTER_US = 2 * SECOND_US
-# So many a tick, or of a large fleet this part, so that calling all of it over takes no longer
-# than half a lease.
-_MOST_CALLED = 64
-_CALLED_PART = 16
+# Workers mostly find a new leader by themselves within this time. After it they are probed, and
+# again at intervals of the same length.
+_PROBE_INTERVAL_US = 2 * SECOND_US
+# The limit of probes per tick: this many, or in a large fleet its size over this divisor, so that
+# probing all of it takes no longer than half a lease.
+_PROBES_PER_TICK = 64
+_FLEET_DIVISOR_PER_TICK = 16
 
 
 class StrayMachines:
-    """Finds machines that have not reported under an epoch of this leader's, and probes them.
+    """Finds machines that have not reported under a term of this leader, and probes them.
 
-    The leader before may be cut off from the state service and from this one but not from them,
-    and answers them until its time is over. A worker that has seen our epoch drops its answers,
-    and its reports tell it to step down.
+    The previous leader may be cut off from the state service and from this leader, but not from
+    these machines, and answers them until its authority expires. A worker that has seen this
+    leader's term discards those answers, and its reports make the previous leader step down.
     """
 
     def __init__(
@@ -37,14 +37,14 @@
         self._clock = clock
 
     def probe(self, leading_since_us: int) -> None:
-        """Call some of them over."""
+        """Probe the next of these machines, up to the limit per tick."""
         now_us = self._clock.now_us()
-        if now_us - leading_since_us < _CALL_AFTER_US or not self._leadership.may_start_tasks():
+        if now_us - leading_since_us < _PROBE_INTERVAL_US or not self._leadership.may_start_tasks():
             return
         machines = self._inventory.machines
         strays = [machine for machine in machines.values() if self._is_stray(machine, now_us)]
-        most = max(_MOST_CALLED, len(machines) // _CALLED_PART)
-        for machine in strays[:most]:
+        max_probes = max(_PROBES_PER_TICK, len(machines) // _FLEET_DIVISOR_PER_TICK)
+        for machine in strays[:max_probes]:
             self._command_sender.probe(machine)
 
     @staticmethod
@@ -54,5 +54,5 @@
             and (machine.needs_direct_answer or not machine.has_acknowledged_leader)
             and machine.address is not None
             and not machine.releasing
-            and (machine.probed_at_us is None or now_us - machine.probed_at_us > _CALL_AFTER_US)
+            and (machine.probed_at_us is None or now_us - machine.probed_at_us > _PROBE_INTERVAL_US)
         )
--- a/tests/test_renting.py
+++ b/tests/test_renting.py
@@ -19,9 +19,9 @@
 
     def patient(after_s, guaranteed=False, **changes):
         waiting = job(tasks=4, **changes)
-        renting._stuck_since = {waiting.id: begun_us}
+        renting._blocked_since_us = {waiting.id: begun_us}
         clock.us = begun_us + after_s * S
-        return renting._patient(waiting, guaranteed)
+        return renting._should_wait_for_spot(waiting, guaranteed)
 
     assert patient(29) and not patient(31)
     assert patient(74, priority="idle") and not patient(76, priority="idle")
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -348,7 +348,7 @@
     scaler = led.manager._scaler
     submit(led.mirror, tasks=LARGE_FLEET, cpus=4.0, spot=False)
     job = led.registry.jobs["j-000001"]
-    scaler._stuck = {"red": [job]}
+    scaler._blocked_jobs = {"red": [job]}
     (waiting,) = scaler.waiting_tasks()
     assert waiting.count == LARGE_FLEET
     pool = ("small", "a", False)
@@ -421,7 +421,7 @@
     ]
     looks = []
     monkeypatch.setattr(
-        consolidate, "_can_be_emptied", lambda host, *_: looks.append(host) or False
+        consolidate, "_can_be_drained", lambda host, *_: looks.append(host) or False
     )
     assert consolidate.choose_machine_to_drain(hosts, {}) is None
     assert 0 < len(looks) <= 64
