--- a/mosswalk/fleet/consolidating.py
+++ b/mosswalk/fleet/consolidating.py
@@ -19,7 +19,7 @@
 _MIN_RUN_US = 60 * SECOND_US
 # How long a machine stays cordoned after it was last chosen to drain: its release takes a while.
 _DRAINING_US = 30 * SECOND_US
-# At once, one replica is moved for each this many that run, but at least one.
+# One replica is moved at a time per this many running replicas, but at least one.
 _REPLICAS_PER_MOVE = 250
 
 
--- a/mosswalk/fleet/machine_list.py
+++ b/mosswalk/fleet/machine_list.py
@@ -1,6 +1,6 @@
 """Updates the inventory from the cloud's machine list.
 
-The list lags behind: that a machine is missing from it does not prove that the machine is gone.
+The list lags behind: a machine that is missing from it is not proven to be gone.
 """
 
 from __future__ import annotations
--- a/mosswalk/fleet/offers.py
+++ b/mosswalk/fleet/offers.py
@@ -300,7 +300,7 @@
         busy = {r.node for r in self._reservations} | self._leadership.suspected()
         unplaced = self._registry.unplaced
         if not any(unplaced.values()):
-            # Mostly there is nothing to place, and the machines need not be examined.
+            # Usually no task is waiting, so the machines need not be examined.
             self._scaler.clear_blocked_jobs()
             return []
         capacities = self.free_capacities()
--- a/mosswalk/fleet/overdue_machines.py
+++ b/mosswalk/fleet/overdue_machines.py
@@ -43,8 +43,8 @@
         # The zone of each controller.
         self._zone_by_controller = {peer.host_name: peer.zone for peer in settings.known}
         self._zone_by_controller[settings.host_name] = settings.zone
-        # By zone, when it last had no controller in sight, and when last many machines there were
-        # late to report.
+        # By zone: when it last had no reachable controller, and when many of its machines were
+        # last late to report.
         self._no_controller_at_us: dict[str, int] = {}
         self._many_late_at_us: dict[str, int] = {}
 
