--- a/mosswalk/leadership/__init__.py
+++ b/mosswalk/leadership/__init__.py
@@ -1,7 +1,7 @@
-"""Who leads, and who places for which team.
+"""Leader election, and the assignment of teams to controllers.
 
-A controller's presence and the leader's key hang on one lease each controller keeps. The term
-record is changed by compare-and-set; its number is the epoch that workers see. Whether this
-controller leads is read off the mirror, never remembered from a commit's answer: a commit
-whose answer was lost counts once the watch shows it.
+Each controller keeps one lease, to which its presence record and, while it leads, the leader's
+key are attached. The term record is changed by compare-and-set; its number is the term that
+workers see. Whether this controller leads is read from the mirror, never concluded from the answer
+to a commit: a commit whose answer was lost counts once the watch shows it.
 """
--- a/mosswalk/leadership/actor.py
+++ b/mosswalk/leadership/actor.py
@@ -1,4 +1,4 @@
-"""Keeps this controller's lease, stands for election, and changes terms when it leads."""
+"""Renews this controller's lease, campaigns for leadership, and changes terms while it leads."""
 
 from __future__ import annotations
 
@@ -35,38 +35,53 @@
 
 log = logging.getLogger(__name__)
 
-# A controller that joins gets teams only once it has stayed this long: one that keeps
-# crashing must not cause a term each time.
-_SETTLE_US = 2_000_000
-# One that has handed over does not stand for this long, so that another one does.
-_YIELD_US = 5_000_000
+# A controller that joins is given teams only after the set of controllers has been stable for this
+# long: one that crashes repeatedly must not cause a new term each time.
+_JOIN_SETTLE_US = 2_000_000
+# A controller that has handed over leadership does not campaign for this long, so that another one
+# takes it.
+_HANDOVER_PAUSE_US = 5_000_000
+# No tasks are started once the mirror was last confirmed longer ago than this.
+_MAX_START_UNCONFIRMED_US = to_us(5.0)
+# The presence is rewritten after this many renewals in a row at which the mirror did not show it.
+_MAX_PRESENCE_MISMATCHES = 3
+# Controllers that notice a missing leader together wait a random time up to this long, so that they
+# do not all write at once.
+_CAMPAIGN_JITTER_S = 0.08
+_REVIEW_PERIOD_S = 0.5
+_LEASE_RETRY_S = 0.2
+_CONFLICT_RETRY_S = 0.1
+_TERM_RETRY_S = 0.3
+# How often, and how many times, the mirror is checked for a term just written.
+_MIRROR_POLL_S = 0.02
+_MAX_MIRROR_POLLS = 100
 
 
 class Authority(Protocol):
-    """Whether a controller that may have stood still can rely on what it last knew."""
+    """Whether a controller may rely on its last known state, given that it may have been frozen."""
 
     def may_act(self) -> bool:
-        """Whether it may act at all."""
+        """Whether it may act on that state."""
 
     def may_renew_worker_leases(self) -> bool:
-        """Whether it may renew workers' leases."""
+        """Whether it may renew the leases of workers."""
 
     async def confirm(self) -> None:
-        """Return once it may act; RefusedError if the state service does not say so now."""
+        """Return once it may act; RefusedError if the state service does not confirm it now."""
 
 
 class FailureDetector(Protocol):
-    """What a failure detector holds of the other controllers."""
+    """Which of the other controllers are suspected, and the verdicts on them."""
 
     def suspected(self) -> frozenset[str]:
-        """Those that get nothing new."""
+        """The suspected controllers, which are given no further work."""
 
     def verdict(self, node: str, run: str) -> Verdict:
-        """Why a controller's teams, or the lead, are given to others."""
+        """Why a controller's teams, or the leadership, are given to others."""
 
 
 class Leadership:
-    """This controller's place among the others."""
+    """This controller's lease, its view of the current term, and its part in elections."""
 
     def __init__(
         self,
@@ -87,104 +102,108 @@
         self._teams = [team.name for team in settings.params.teams]
         workers = settings.params.workers
         self.max_unconfirmed_us = max_unconfirmed_us(workers.lease_s, workers.cancel_s)
-        # Read and written by a lease renewer beside the main loop, if there is one.
+        # Also read and written by the lease renewer's thread, if there is one.
         self.lease: int | None = None
         self.lease_renewed_at_us = 0
-        # Both are there if failure detection is on.
+        # Both are set if failure detection is on.
         self.authority: Authority | None = None
         self.failure_detector: FailureDetector | None = None
-        self._absent = 0
+        # Renewals in a row at which the mirror did not show this run's presence.
+        self._presence_mismatches = 0
         self.term: TermRecord | None = None
         self.term_version = 0
-        self._lead: Presence | None = None
-        self._lead_version = 0
-        # Which controllers are up, as the state service shows them.
+        self._leader_presence: Presence | None = None
+        self._leader_key_version = 0
+        # The presence of each running controller, as the mirror shows it.
         self.present: dict[str, Presence] = {}
         self._controllers = (self.node, *(peer.host_name for peer in settings.known))
-        self._runs_since_us = 0
-        # What has been logged since the term was last changed.
-        self._logged_epoch = 0
-        self._logged: set[str] = set()
-        self._outbid = 0
-        self._wanted_above = 0
-        self._hands_over = False
-        self._yields_until_us = 0
+        self._presences_changed_at_us = 0
+        # Lines already logged in the current term.
+        self._logged_in_term = 0
+        self._logged_lines: set[str] = set()
+        # The highest term above its own that a worker reported to this controller as leader.
+        self._highest_observed_term = 0
+        # Terms up to this number are to be replaced by a new one.
+        self._superseded_term = 0
+        self._handover_requested = False
+        self._no_campaign_until_us = 0
         self._unreachable: frozenset[str] = frozenset()
         self._wake = asyncio.Event()
-        # A lease that is known to have ended need not wait for the next renewal to be replaced.
+        # Set when the lease is known to have ended, so that it is replaced without waiting for the
+        # next renewal.
         self._lease_lost = asyncio.Event()
         self.on_term: list[Callable[[], None]] = []
-        mirror.listen(records.TERM_KEY, self._term_changed)
-        mirror.listen(records.LEADER_KEY, self._lead_changed)
-        mirror.listen(records.NODE_PREFIX, self._node_changed)
+        mirror.listen(records.TERM_KEY, self._on_term_changed)
+        mirror.listen(records.LEADER_KEY, self._on_leader_changed)
+        mirror.listen(records.NODE_PREFIX, self._on_presence_changed)
 
-    # What others ask.
+    # Queries and requests from other parts of this process.
 
     def leads(self) -> bool:
-        """Whether this controller leads, as far as the state service has said."""
+        """Whether this controller leads, according to the mirror."""
         return (
             self.term is not None
-            and self._lead is not None
-            and self._lead.run == self.run_id
-            and self._lead.node == self.node
+            and self._leader_presence is not None
+            and self._leader_presence.run == self.run_id
+            and self._leader_presence.node == self.node
             and self.term.leader == self.node
             and self.term.runs.get(self.node) == self.run_id
-            and self.term.term >= self._outbid
+            and self.term.term >= self._highest_observed_term
         )
 
     def may_renew_worker_leases(self) -> bool:
-        """Whether a leader may still renew workers' leases."""
+        """Whether this controller leads and may still renew the leases of workers."""
         if self.authority is not None and not self.authority.may_renew_worker_leases():
             return False
-        confirmed_us = min(self.lease_renewed_at_us, self._mirror.confirmed_until_us)
-        return self.leads() and self._clock.now_us() - confirmed_us < self.max_unconfirmed_us
+        confirmed_at_us = min(self.lease_renewed_at_us, self._mirror.confirmed_until_us)
+        return self.leads() and self._clock.now_us() - confirmed_at_us < self.max_unconfirmed_us
 
     def may_renew_worker_leases_as_follower(self) -> bool:
-        """Whether one that does not lead may renew workers' leases, when nobody else can.
+        """Whether a controller that does not lead may renew workers' leases when no leader can.
 
-        For as long as a leader might, and for the same reason: what it doesn't know to be
-        withdrawn by then is dead in time.
+        The time limit is the same as a leader's, for the same reason: tasks of a job whose
+        withdrawal this controller has not seen still end within the deadline for withdrawals.
         """
-        if self.term is None or self.leads() or self.term.term < self._outbid:
+        if self.term is None or self.leads() or self.term.term < self._highest_observed_term:
             return False
         return self._clock.now_us() - self._mirror.confirmed_until_us < self.max_unconfirmed_us
 
     def zones_with_controller(self, zones: Mapping[str, str]) -> set[str]:
-        """The zones in which a controller is up, given each one's zone."""
+        """The zones in which a controller is running, given the zone of each controller."""
         return {zones[node] for node in {*self.present, self.node} if node in zones}
 
     def may_start_tasks(self) -> bool:
-        """Whether a leader may start tasks: only while it hears from the state service."""
+        """Whether this controller leads and was recently confirmed, as starting tasks requires."""
         if not self._may_act():
             return False
-        fresh_us = self._clock.now_us() - self._mirror.confirmed_until_us
-        return self.leads() and fresh_us < to_us(5.0)
+        unconfirmed_us = self._clock.now_us() - self._mirror.confirmed_until_us
+        return self.leads() and unconfirmed_us < _MAX_START_UNCONFIRMED_US
 
     def _may_act(self) -> bool:
         return self.authority is None or self.authority.may_act()
 
     def suspected(self) -> frozenset[str]:
-        """Controllers that get nothing new."""
+        """The controllers that the failure detector suspects, which are given no further work."""
         return (
             self.failure_detector.suspected() if self.failure_detector is not None else frozenset()
         )
 
     def leader(self) -> str | None:
-        """Which controller leads, if any is known to."""
-        if self._lead is None or self.term is None:
+        """The controller that leads, or None if none is known to."""
+        if self._leader_presence is None or self.term is None:
             return None
-        return self._lead.node
+        return self._leader_presence.node
 
     def gangs_allowed(self) -> bool:
-        """Whether every controller can deal with gangs; once it is so, it stays so."""
+        """Whether all controllers support gangs; once true, this stays true."""
         return self.term is not None and self.term.version >= records.GANG_VERSION
 
     def term_number(self) -> int:
-        """The term."""
+        """The number of the current term, or 0 if there is none yet."""
         return self.term.term if self.term is not None else 0
 
     def owns(self, team: str) -> bool:
-        """Whether this run of this controller places for a team."""
+        """Whether this run of this controller is the owner of a team."""
         return (
             self.term is not None
             and self.term.owners.get(team) == self.node
@@ -192,41 +211,41 @@
         )
 
     def owns_any_team(self) -> bool:
-        """Whether this run of this controller places for any team."""
+        """Whether this run of this controller is the owner of any team."""
         return any(self.owns(team) for team in self._teams)
 
     def observe_term(self, term_number: int) -> None:
-        """A worker has seen a higher epoch: someone else leads."""
+        """Step down if a worker has seen a higher term, because another controller leads then."""
         if term_number > self.term_number() and self.leads():
             log.info(
-                "stepping down: a worker has seen epoch %d, ours is %d",
+                "stepping down: a worker reported term %d, this controller leads term %d",
                 term_number,
                 self.term_number(),
             )
-            self._outbid = max(self._outbid, term_number)
+            self._highest_observed_term = max(self._highest_observed_term, term_number)
 
     def note_unreachable(self, nodes: frozenset[str]) -> None:
-        """Controllers that can't be reached from here, as far as is known."""
+        """Record which controllers can't be reached from this one."""
         if nodes != self._unreachable:
-            log.info("can't reach: %s", ", ".join(sorted(nodes)) or "none")
+            log.info("unreachable controllers: %s", ", ".join(sorted(nodes)) or "none")
             self._unreachable = nodes
             self._wake.set()
 
     def request_new_term(self) -> None:
-        """Have a new term made, so that every order of this one is outdated."""
-        self._wanted_above = max(self._wanted_above, self.term_number())
+        """Request a new term, which invalidates all commands sent in the current one."""
+        self._superseded_term = max(self._superseded_term, self.term_number())
         self._wake.set()
 
     def hand_over(self) -> None:
-        """Let another controller lead, as this one can't do its work."""
-        if self.leads() and not self._hands_over:
-            log.info("handing over: the workers can't reach us, but others")
-            self._hands_over = True
+        """Let another controller lead, because workers can't reach this one."""
+        if self.leads() and not self._handover_requested:
+            log.info("handing over leadership: workers reach other controllers but not this one")
+            self._handover_requested = True
             self._wake.set()
 
-    # What the mirror tells.
+    # Callbacks of the mirror.
 
-    def _term_changed(self, _key: str, value: bytes | None, version: int) -> None:
+    def _on_term_changed(self, _key: str, value: bytes | None, version: int) -> None:
         self.term = records.decode_term(value) if value is not None else None
         self.term_version = version if value is not None else 0
         if self.term is not None:
@@ -236,77 +255,80 @@
                 self.term.leader,
                 sorted(self.term.owners.items()),
             )
-        for action in self.on_term:
-            action()
+        for callback in self.on_term:
+            callback()
         self._wake.set()
 
-    def _lead_changed(self, _key: str, value: bytes | None, version: int) -> None:
-        self._lead = records.decode_presence(value) if value is not None else None
-        self._lead_version = version if value is not None else 0
-        log.info("leader key: %s", self._lead.node if self._lead else "free")
+    def _on_leader_changed(self, _key: str, value: bytes | None, version: int) -> None:
+        self._leader_presence = records.decode_presence(value) if value is not None else None
+        self._leader_key_version = version if value is not None else 0
+        log.info("leader key: %s", self._leader_presence.node if self._leader_presence else "free")
         self._wake.set()
 
-    def _node_changed(self, key: str, value: bytes | None, _version: int) -> None:
+    def _on_presence_changed(self, key: str, value: bytes | None, _version: int) -> None:
         node = key.removeprefix(records.NODE_PREFIX)
         if value is None:
             self.present.pop(node, None)
         else:
             self.present[node] = records.decode_presence(value)
-        self._runs_since_us = self._clock.now_us()
+        self._presences_changed_at_us = self._clock.now_us()
         self._wake.set()
 
     # The lease.
 
-    def _me(self, lease: int | None) -> Raw:
-        return Raw(records.encode(self._presence(lease)))
+    def _encoded_presence(self, lease: int | None) -> Raw:
+        return Raw(records.encode(self._own_presence(lease)))
 
-    def _presence(self, lease: int | None) -> Presence:
-        """What others see of us; the lease only if it may be ended by a verdict."""
-        told = UNSET if self.failure_detector is None or lease is None else lease
-        return Presence(self.node, self.run_id, records.CURRENT_VERSION, told)
+    def _own_presence(self, lease: int | None) -> Presence:
+        """This controller's presence; with the lease only if a verdict may end it."""
+        published_lease = UNSET if self.failure_detector is None or lease is None else lease
+        return Presence(self.node, self.run_id, records.CURRENT_VERSION, published_lease)
 
-    async def _take_lease(self) -> None:
-        asked_us = self._clock.now_us()
+    async def _acquire_lease(self) -> None:
+        requested_at_us = self._clock.now_us()
         lease = await self._client.grant(self._ttl_us // 1000)
         await self._write_presence(lease)
         self.lease = lease
-        self.lease_renewed_at_us = asked_us
-        log.info("present: lease %d", lease)
+        self.lease_renewed_at_us = requested_at_us
+        log.info("lease %d granted, presence written", lease)
 
     async def _restore_presence(self) -> None:
-        """Write our presence again if it was overwritten or removed.
+        """Write this run's presence again if it was overwritten or removed.
 
-        A request of our last run may arrive late and write that run's presence over ours, on a
-        lease about to end. Then others would take this run for dead: its teams would stand still.
+        A delayed request of the previous run of this controller may overwrite it with that run's
+        presence, on a lease about to end. The other controllers would then consider this run dead,
+        and nothing would be placed for its teams.
         """
-        shown = self.present.get(self.node)
-        if shown is not None and shown.run == self.run_id:
-            self._absent = 0
+        visible = self.present.get(self.node)
+        if visible is not None and visible.run == self.run_id:
+            self._presence_mismatches = 0
             return
-        self._absent += 1
-        if self._absent < 3 or self.lease is None:
-            # The mirror may only be behind.
+        self._presence_mismatches += 1
+        if self._presence_mismatches < _MAX_PRESENCE_MISMATCHES or self.lease is None:
+            # The mirror may only lag behind.
             return
-        log.info("our presence shows %s: written again", shown)
+        log.info("presence of this controller shows %s: writing it again", visible)
         await self._write_presence(self.lease)
-        self._absent = 0
+        self._presence_mismatches = 0
 
     async def _write_presence(self, lease: int) -> None:
         key = records.NODE_PREFIX + self.node
         await self._client.commit(
-            wire.Transaction((), (wire.Write(key=key, value=self._me(lease), lease=lease),))
+            wire.Transaction(
+                (), (wire.Write(key=key, value=self._encoded_presence(lease), lease=lease),)
+            )
         )
 
     async def keep_lease(self) -> None:
-        """Hold a lease for ever."""
+        """Hold a lease: acquire it, renew it, and replace it when it has ended. Never returns."""
         while True:
             try:
                 if self.lease is None:
-                    await self._take_lease()
+                    await self._acquire_lease()
                 else:
-                    asked_us = self._clock.now_us()
+                    requested_at_us = self._clock.now_us()
                     await self._client.renew(self.lease, self._ttl_us / 1e6)
-                    self.lease_renewed_at_us = asked_us
+                    self.lease_renewed_at_us = requested_at_us
                     await self._restore_presence()
             except NoLeaseError:
                 if self.lease is not None:
@@ -314,8 +336,8 @@
                 self.lease = None
                 continue
             except (RefusedError, UnknownOutcomeError) as error:
-                log.debug("lease: %s", error)
-                await asyncio.sleep(0.2 * self._rng.uniform(0.8, 1.2))
+                log.debug("lease request failed: %s", error)
+                await asyncio.sleep(_LEASE_RETRY_S * self._rng.uniform(0.8, 1.2))
                 continue
             self._wake.set()
             self._lease_lost.clear()
@@ -326,10 +348,10 @@
     # Elections and terms.
 
     async def run(self) -> None:
-        """Stand when nobody leads; when leading, keep the term in step with who is up."""
+        """Campaign when there is no leader; as leader, keep the term up to date. Never returns."""
         while True:
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(0.5):
+                async with asyncio.timeout(_REVIEW_PERIOD_S):
                     await self._wake.wait()
             self._wake.clear()
             if not self._mirror.loaded or self.lease is None:
@@ -340,53 +362,60 @@
                 await self._review_term()
             except ConflictError as conflict:
                 self._log_once(f"term not changed: {conflict}")
-                await asyncio.sleep(0.1)
+                await asyncio.sleep(_CONFLICT_RETRY_S)
             except (RefusedError, UnknownOutcomeError, NoLeaseError) as error:
                 self._log_once(f"term not changed: {error}")
-                await asyncio.sleep(0.3 * self._rng.uniform(0.8, 1.2))
+                await asyncio.sleep(_TERM_RETRY_S * self._rng.uniform(0.8, 1.2))
 
     def _log_once(self, line: str) -> None:
-        """Tell what is tried again and again, for as long as an outage lasts, once a term."""
-        epoch = self.term_number()
-        if epoch != self._logged_epoch:
-            self._logged_epoch = epoch
-            self._logged.clear()
-        level = logging.DEBUG if line in self._logged else logging.INFO
-        self._logged.add(line)
+        """Log a line at info level once per term: attempts are repeated throughout an outage."""
+        term_number = self.term_number()
+        if term_number != self._logged_in_term:
+            self._logged_in_term = term_number
+            self._logged_lines.clear()
+        level = logging.DEBUG if line in self._logged_lines else logging.INFO
+        self._logged_lines.add(line)
         log.log(level, "%s", line)
 
     async def _review_term(self) -> None:
         now_us = self._clock.now_us()
-        mine = self._lead is not None and self._lead.node == self.node
+        holds_leader_key = (
+            self._leader_presence is not None and self._leader_presence.node == self.node
+        )
         if self.term is not None and self.term.version > records.CURRENT_VERSION:
-            # The others can do more than we know of: following is all that is left to us.
+            # The term needs a newer version than this controller's: it can only follow.
             return
-        if self._hands_over:
-            await self._give_up_lead()
-        elif self._lead is None and now_us < self._yields_until_us:
+        if self._handover_requested:
+            await self._release_leadership()
+        elif self._leader_presence is None and now_us < self._no_campaign_until_us:
             return
-        elif self._lead is None:
-            # Those who notice together should not all write at once.
-            await asyncio.sleep(self._rng.uniform(0.0, 0.08))
-            if self._lead is None:
-                await self._campaign("nobody leads")
-        elif mine and self._lead is not None and self._lead.run != self.run_id:
-            # Our last run led, and it is dead for certain: no need to wait for its lease.
-            await self._campaign("our last run led")
-        elif mine and self.term is not None:
-            up = self._up()
-            restarted = any(run != self.term.runs.get(node, run) for node, run in up.items())
-            gone = any(node not in up for node in self.term.runs)
-            cut_off = self._unreachable & set(self.term.owners.values())
+        elif self._leader_presence is None:
+            await asyncio.sleep(self._rng.uniform(0.0, _CAMPAIGN_JITTER_S))
+            if self._leader_presence is None:
+                await self._campaign("there is no leader")
+        elif (
+            holds_leader_key
+            and self._leader_presence is not None
+            and self._leader_presence.run != self.run_id
+        ):
+            # The previous run of this controller led and has certainly ended: there is no need to
+            # wait for its lease to expire.
+            await self._campaign("the previous run of this controller led")
+        elif holds_leader_key and self.term is not None:
+            runs = self._eligible_runs()
+            restarted = any(run != self.term.runs.get(node, run) for node, run in runs.items())
+            departed = any(node not in runs for node in self.term.runs)
+            unreachable_owners = self._unreachable & set(self.term.owners.values())
             suspected = self.suspected()
-            # Teams are not moved about while somebody is suspected: no term by suspicion alone.
-            settled = now_us - self._runs_since_us > _SETTLE_US and not suspected
-            wanted = max(self._outbid, self._wanted_above + 1) > self.term.term
-            if wanted or (
-                needs_new_term(self.term, up, self._unreachable, suspected)
-                and (restarted or gone or cut_off or settled)
+            # Teams are not rebalanced while a controller is suspected: a suspicion alone must not
+            # cause a new term.
+            settled = now_us - self._presences_changed_at_us > _JOIN_SETTLE_US and not suspected
+            requested = max(self._highest_observed_term, self._superseded_term + 1) > self.term.term
+            if requested or (
+                needs_new_term(self.term, runs, self._unreachable, suspected)
+                and (restarted or departed or unreachable_owners or settled)
             ):
-                await self._campaign("controllers changed")
+                await self._campaign("the set of controllers has changed")
             elif may_upgrade(self.term, self._controllers, self.present):
                 await self._campaign("all controllers have the new version", upgrade=True)
             elif (
@@ -394,68 +423,68 @@
                 and not self.term.detects
                 and all_support_detection(self._controllers, self.present)
             ):
-                await self._campaign("all controllers detect failures", detects=True)
+                await self._campaign("all controllers support failure detection", detects=True)
 
-    async def _give_up_lead(self) -> None:
-        """Free the leader's key; who takes it makes a new term, which outdates this one."""
-        self._hands_over = False
+    async def _release_leadership(self) -> None:
+        """Delete the leader's key; the next leader makes a new term, which invalidates this one."""
+        self._handover_requested = False
         if not self.leads():
             return
-        self._yields_until_us = self._clock.now_us() + _YIELD_US
+        self._no_campaign_until_us = self._clock.now_us() + _HANDOVER_PAUSE_US
         await self._client.commit(
             wire.Transaction(
-                (wire.Guard(records.LEADER_KEY, self._lead_version),),
+                (wire.Guard(records.LEADER_KEY, self._leader_key_version),),
                 (wire.Write(delete=records.LEADER_KEY),),
             )
         )
 
-    def _up(self) -> dict[str, str]:
-        """The runs that a term may name, ours whether or not its presence is visible yet."""
-        return eligible_runs(self.term, {**self.present, self.node: self._presence(self.lease)})
+    def _eligible_runs(self) -> dict[str, str]:
+        """The runs that a term may name; this one even if its presence is not visible yet."""
+        return eligible_runs(self.term, {**self.present, self.node: self._own_presence(self.lease)})
 
     def _with_detection(
-        self, term: TermRecord, suspicions: FailureDetector, *, detects: bool
+        self, term: TermRecord, failure_detector: FailureDetector, *, detects: bool
     ) -> TermRecord:
-        """The term with what failure detection records in it."""
-        in_force = detects or (self.term is not None and self.term.detects)
-        verdicts = verdicts_between(self.term, term, self._unreachable, suspicions.verdict)
+        """The term with its verdicts and whether failure detection is active."""
+        active = detects or (self.term is not None and self.term.detects)
+        verdicts = verdicts_between(self.term, term, self._unreachable, failure_detector.verdict)
         for verdict in verdicts:
-            by = f" by {', '.join(verdict.observers)}" if verdict.observers else ""
-            self._log_once(f"verdict on {verdict.node}: {verdict.reason}{by}")
-        return structs.replace(term, detects=in_force, verdicts=verdicts)
+            observers = f" by {', '.join(verdict.observers)}" if verdict.observers else ""
+            self._log_once(f"verdict on {verdict.node}: {verdict.reason}{observers}")
+        return structs.replace(term, detects=active, verdicts=verdicts)
 
     async def confirm_authority(self) -> None:
-        """Renew the lease, and read the term and the leader's key, after having stood still."""
-        led, epoch = self.leads(), self.term_number()
-        lease, asked_us = self.lease, self._clock.now_us()
+        """Renew the lease and read the term and the leader's key after this process was frozen."""
+        was_leader, term_number = self.leads(), self.term_number()
+        lease, requested_at_us = self.lease, self._clock.now_us()
         if lease is not None:
             try:
                 await self._client.renew(lease, self._ttl_us / 1e6)
-                self.lease_renewed_at_us = asked_us
+                self.lease_renewed_at_us = requested_at_us
             except NoLeaseError:
-                log.info("lease %d has ended while we stood still", lease)
+                log.info("lease %d has ended while this process was frozen", lease)
                 if self.lease == lease:
                     self.lease = None
                     self._lease_lost.set()
         if self._mirror.loaded:
             await self._mirror.read_latest((records.TERM_KEY, records.LEADER_KEY))
-        if led and not self.leads():
+        if was_leader and not self.leads():
             log.info(
                 "deposed while we stood still: led term %d, now %s leads in term %d",
-                epoch,
+                term_number,
                 self.leader() or "nobody",
                 self.term_number(),
             )
 
-    async def _campaign(self, why: str, *, upgrade: bool = False, detects: bool = False) -> None:
+    async def _campaign(self, reason: str, *, upgrade: bool = False, detects: bool = False) -> None:
         if self.lease is None:
             return
         term = next_term(
             self.term,
             self.node,
-            self._up(),
+            self._eligible_runs(),
             self._teams,
-            self._outbid,
+            self._highest_observed_term,
             self._unreachable,
             records.CURRENT_VERSION if upgrade else records.FIRST_VERSION,
             self.suspected(),
@@ -463,22 +492,24 @@
         if self.failure_detector is not None:
             term = self._with_detection(term, self.failure_detector, detects=detects)
         guards: tuple[wire.Guard, ...] = (
-            wire.Guard(records.LEADER_KEY, self._lead_version),
+            wire.Guard(records.LEADER_KEY, self._leader_key_version),
             wire.Guard(records.TERM_KEY, self.term_version),
         )
         if upgrade or detects:
             keys = [records.NODE_PREFIX + node for node in self._controllers]
             guards += tuple(wire.Guard(key, self._mirror.version(key)) for key in keys)
         writes = (
-            wire.Write(key=records.LEADER_KEY, value=self._me(self.lease), lease=self.lease),
+            wire.Write(
+                key=records.LEADER_KEY, value=self._encoded_presence(self.lease), lease=self.lease
+            ),
             wire.Write(key=records.TERM_KEY, value=Raw(records.encode_term(term))),
         )
-        self._log_once(f"standing for term {term.term}: {why}")
+        self._log_once(f"campaigning for term {term.term}: {reason}")
         if not self._may_act():
-            raise RefusedError("stood still while standing")
+            raise RefusedError("campaign stopped: authority is not confirmed after a freeze")
         revision = await self._client.commit(wire.Transaction(guards, writes))
-        # Wait for the mirror to show it, so that the same term is not written twice.
-        for _ in range(100):
+        # Wait until the mirror shows the term, so that it is not written twice.
+        for _ in range(_MAX_MIRROR_POLLS):
             if self._mirror.revision >= revision:
                 return
-            await asyncio.sleep(0.02)
+            await asyncio.sleep(_MIRROR_POLL_S)
--- a/mosswalk/leadership/terms.py
+++ b/mosswalk/leadership/terms.py
@@ -1,4 +1,4 @@
-"""Pure decisions about terms."""
+"""Decisions about terms, as pure functions."""
 
 from __future__ import annotations
 
@@ -9,59 +9,66 @@
 from mosswalk.actors import to_us
 from mosswalk.store.records import FIRST_VERSION, Presence, TermRecord, Verdict
 
+_CLOCK_DRIFT_FACTOR = 0.998
+_WORKER_DELAY_S = 0.5
+
 
 def max_unconfirmed_us(lease_s: float, cancel_s: float) -> int:
-    """How long workers may be kept alive without the state service, since it last confirmed.
+    """How long a controller may renew workers' leases after the state service last confirmed it.
 
-    A job may be withdrawn elsewhere right after that: its tasks must be dead within ``cancel_s``,
-    and they die ``lease_s`` after their worker sent the last report that was answered, however
-    long the answer took. So the margin is only for what clocks drift apart, 0.05 % each, and for
-    a worker's own slowness.
+    A job may be withdrawn through another controller right after that confirmation. Its tasks must
+    have ended within ``cancel_s``, and they end ``lease_s`` after their worker sent the last report
+    that was answered, however long the answer took. The margin therefore only covers the drift
+    between two clocks, 0.05 % each, and delays in the worker itself.
     """
-    return to_us(max(0.0, (cancel_s - lease_s) * 0.998 - 0.5))
+    return to_us(max(0.0, (cancel_s - lease_s) * _CLOCK_DRIFT_FACTOR - _WORKER_DELAY_S))
 
 
 def assign_teams(
     teams: Iterable[str],
     leader: str,
-    alive: Iterable[str],
-    before: Mapping[str, str],
+    controllers: Iterable[str],
+    previous_owners: Mapping[str, str],
     suspected: Collection[str] = (),
 ) -> dict[str, str]:
-    """Which controller owns which team.
+    """The owner of each team, distributed evenly over the controllers.
 
-    Teams stay where they are as far as the spread allows; the leader, which has other work,
-    takes the smaller share. A lone team stays with the leader, next to the machine inventory.
-    Suspected controllers keep what they have and get nothing more.
+    Teams keep their owner as far as an even distribution allows. The leader has other work and
+    takes the smaller share. A single team goes to the leader, which keeps the machine inventory.
+    Suspected controllers keep their teams and are given no more.
     """
     names = sorted(set(teams))
-    up = {*alive, leader}
+    nodes = {*controllers, leader}
     if len(names) <= 1:
         return dict.fromkeys(names, leader)
-    doubtful = up.intersection(suspected) - {leader}
-    kept = {team: before[team] for team in names if before.get(team) in doubtful}
+    suspected_nodes = nodes.intersection(suspected) - {leader}
+    kept = {
+        team: previous_owners[team]
+        for team in names
+        if previous_owners.get(team) in suspected_nodes
+    }
     names = [team for team in names if team not in kept]
-    return {**kept, **_spread(names, leader, up - doubtful, before)}
+    return {**kept, **_distribute(names, leader, nodes - suspected_nodes, previous_owners)}
 
 
-def _spread(
-    names: list[str], leader: str, up: Collection[str], before: Mapping[str, str]
+def _distribute(
+    names: list[str], leader: str, controllers: Collection[str], previous_owners: Mapping[str, str]
 ) -> dict[str, str]:
-    """Teams in even parts, each with its owner of before where that has room for it."""
-    nodes = sorted(up, key=lambda node: (node == leader, node))
+    """Distribute teams evenly, each to its previous owner while that has open slots."""
+    nodes = sorted(controllers, key=lambda node: (node == leader, node))
     base, extra = divmod(len(names), len(nodes))
-    room = {node: base + (1 if i < extra else 0) for i, node in enumerate(nodes)}
+    open_slots = {node: base + (1 if i < extra else 0) for i, node in enumerate(nodes)}
     owners: dict[str, str] = {}
     for team in names:
-        node = before.get(team)
-        if node is not None and room.get(node, 0) > 0:
+        node = previous_owners.get(team)
+        if node is not None and open_slots.get(node, 0) > 0:
             owners[team] = node
-            room[node] -= 1
+            open_slots[node] -= 1
     for team in names:
         if team not in owners:
-            node = max(nodes, key=lambda n: room[n])
+            node = max(nodes, key=lambda n: open_slots[n])
             owners[team] = node
-            room[node] -= 1
+            open_slots[node] -= 1
     return owners
 
 
@@ -75,15 +82,15 @@
     version: int = FIRST_VERSION,
     suspected: Collection[str] = (),
 ) -> TermRecord:
-    """The term in which ``leader`` leads the controllers that are up; beyond ``above`` too.
+    """The term after the current one, led by ``leader``, with a number above ``higher_than``.
 
-    Those the leader can't reach get no teams: it could offer them no room and tell them nothing.
-    Those it suspects get no more than they have.
+    Controllers that the leader can't reach get no teams, because it could not send them offers of
+    capacity or outcomes. Controllers that it suspects get no further teams.
     """
     number = max(current.term if current is not None else 0, higher_than) + 1
-    before = current.owners if current is not None else {}
-    reached = [node for node in runs if node not in unreachable]
-    owners = assign_teams(teams, leader, reached, before, suspected)
+    previous_owners = current.owners if current is not None else {}
+    reachable = [node for node in runs if node not in unreachable]
+    owners = assign_teams(teams, leader, reachable, previous_owners, suspected)
     version = max(version, current.version if current is not None else FIRST_VERSION)
     return TermRecord(number, leader, owners, dict(runs), version)
 
@@ -94,19 +101,19 @@
 
 
 def verdicts_between(
-    before: TermRecord | None,
-    after: TermRecord,
+    previous: TermRecord | None,
+    following: TermRecord,
     unreachable: Collection[str],
-    find: Callable[[str, str], Verdict],
+    verdict_for: Callable[[str, str], Verdict],
 ) -> tuple[Verdict, ...]:
-    """Why controllers of the term before are left out of the next one, or own nothing in it."""
-    if before is None:
+    """Verdicts on controllers that a term no longer names, or that lost teams as unreachable."""
+    if previous is None:
         return ()
-    owners = set(before.owners.values())
+    owners = set(previous.owners.values())
     return tuple(
-        find(node, run)
-        for node, run in before.runs.items()
-        if node not in after.runs or (node in unreachable and node in owners)
+        verdict_for(node, run)
+        for node, run in previous.runs.items()
+        if node not in following.runs or (node in unreachable and node in owners)
     )
 
 
@@ -116,12 +123,12 @@
     unreachable: Collection[str] = (),
     suspected: Collection[str] = (),
 ) -> bool:
-    """Whether the controllers that are up are not those the term was made for.
+    """Whether the runs or the owners of the current term differ from what they should be now.
 
-    A controller that was restarted counts as changed: a commit its last run sent may still
-    arrive, and only a new term makes sure that it fails.
+    A restarted controller counts as changed: a commit that its previous run sent may still arrive,
+    and only a new term ensures that it fails.
     """
-    wanted = next_term(
+    target = next_term(
         current,
         current.leader,
         runs,
@@ -129,4 +136,4 @@
         unreachable=unreachable,
         suspected=suspected,
     )
-    return wanted.runs != current.runs or wanted.owners != current.owners
+    return target.runs != current.runs or target.owners != current.owners
