--- a/mosswalk/store/__init__.py
+++ b/mosswalk/store/__init__.py
@@ -1,1 +1,1 @@
-"""The state service: client, records, mirror and group commit."""
+"""Access to the state service: client, records, mirror and group commit."""
--- a/mosswalk/store/client.py
+++ b/mosswalk/store/client.py
@@ -1,4 +1,4 @@
-"""The state service's client: its published protocol, and what each outcome means."""
+"""The client of the state service: its protocol, and the meaning of each outcome."""
 
 from __future__ import annotations
 
@@ -15,27 +15,31 @@
 
 log = logging.getLogger(__name__)
 
+_CONNECT_TIMEOUT_S = 1.0
+# How much longer than the service holds a watch the client waits for its answer.
+_WATCH_MARGIN_S = 3.0
+
 T = TypeVar("T")
 
 
 class RefusedError(Exception):
-    """The request was not carried out: 503, 429, or it could not be sent."""
+    """The request was not applied: it was refused (429, 503 and others) or could not be sent."""
 
 
 class ThrottledError(RefusedError):
-    """Refused with 429: more requests or changes a second than the service takes."""
+    """Refused with 429: more requests or writes per second than the service accepts."""
 
 
 class InvalidRequestError(RefusedError):
-    """Refused with 400: a value or a transaction is larger than the service takes."""
+    """Refused with 400: a value or a transaction is larger than the service accepts."""
 
 
 class UnknownOutcomeError(Exception):
-    """No answer: the request may have been carried out, or may be later."""
+    """No answer: the request may have been applied, or may still be applied later."""
 
 
 class ConflictError(Exception):
-    """A guard did not hold."""
+    """A guard of the transaction did not hold."""
 
     def __init__(self, failed: tuple[str, ...]) -> None:
         super().__init__(f"guards failed: {', '.join(failed)}")
@@ -50,7 +54,7 @@
 
 
 class CompactedError(Exception):
-    """The watch's starting revision is too old."""
+    """The watch's starting revision was compacted."""
 
 
 _decoders: dict[type, msgspec.json.Decoder[object]] = {}
@@ -63,17 +67,15 @@
     try:
         return decoder.decode(body)  # type: ignore[return-value]
     except msgspec.DecodeError as error:
-        log.error("state service: malformed %s dropped: %s", kind.__name__, error)
+        log.error("state service: malformed %s in an answer: %s", kind.__name__, error)
         raise UnknownOutcomeError("malformed answer") from None
 
 
 class StateClient:
-    """One method a call; every failure is one of this module's errors."""
+    """One method per request; every failure is raised as one of this module's errors."""
 
-    def __init__(
-        self, session: aiohttp.ClientSession, address: str, rps: float, clock: Clock
-    ) -> None:
-        self._session = session
+    def __init__(self, http: aiohttp.ClientSession, address: str, rps: float, clock: Clock) -> None:
+        self._http = http
         self._base = f"http://{address}"
         self._clock = clock
         self._bucket = TokenBucket(rps, max(1.0, rps / 4), clock.now_us())
@@ -85,11 +87,11 @@
         if wait_us > 0:
             await asyncio.sleep(to_s(wait_us))
         try:
-            async with self._session.request(
+            async with self._http.request(
                 method,
                 self._base + path,
                 data=body,
-                timeout=aiohttp.ClientTimeout(total=timeout_s, sock_connect=1.0),
+                timeout=aiohttp.ClientTimeout(total=timeout_s, sock_connect=_CONNECT_TIMEOUT_S),
             ) as response:
                 answer = await response.read()
         except aiohttp.ClientConnectorError as error:
@@ -103,7 +105,7 @@
         return response.status, answer
 
     async def get(self, key: str) -> wire.Row | None:
-        """One key, or None."""
+        """Read one key; None if it does not exist."""
         status, body = await self._call("GET", f"/store/{key}", timeout_s=1.5)
         if status == 404:
             return None
@@ -112,16 +114,16 @@
         return _decode(wire.Row, body)
 
     async def read_range(self, prefix: str, after: str | None, limit: int = 500) -> wire.RowPage:
-        """A page of keys in order."""
-        more = f"&after={after}" if after is not None else ""
-        path = f"/store?starts={prefix}{more}&limit={limit}"
+        """Read a page of the keys with a prefix, in key order."""
+        after_parameter = f"&after={after}" if after is not None else ""
+        path = f"/store?starts={prefix}{after_parameter}&limit={limit}"
         status, body = await self._call("GET", path, timeout_s=5.0)
         if status != 200:
             raise RefusedError(f"status {status}")
         return _decode(wire.RowPage, body)
 
     async def commit(self, transaction: wire.Transaction, timeout_s: float = 2.0) -> int:
-        """Apply a transaction; the revision it got."""
+        """Apply a transaction and return its revision."""
         body = msgspec.json.encode(transaction)
         status, answer = await self._call("POST", "/commit", body, timeout_s)
         if status == 200:
@@ -130,13 +132,13 @@
             raise ConflictError(_decode(wire.Conflict, answer).failed)
         if status == 400 and b"lease" in answer:
             raise NoLeaseError
-        log.error("state service: commit answered %d: %.200s", status, answer)
+        log.error("state service: commit refused with status %d: %.200s", status, answer)
         if status == 400:
             raise InvalidRequestError("status 400")
         raise RefusedError(f"status {status}")
 
     async def grant(self, ttl_ms: int) -> int:
-        """A new lease."""
+        """Create a lease and return its number."""
         body = msgspec.json.encode(wire.LeaseRequest(ttl_ms))
         status, answer = await self._call("POST", "/holds", body)
         if status != 200:
@@ -144,7 +146,7 @@
         return _decode(wire.Lease, answer).lease
 
     async def renew(self, lease: int, timeout_s: float) -> None:
-        """Give a lease its full time again; NoLeaseError if it has ended."""
+        """Renew a lease for its full duration; NoLeaseError if it has ended."""
         status, _ = await self._call("POST", f"/holds/{lease}/touch", b"{}", timeout_s)
         if status == 404:
             raise NoLeaseError
@@ -152,15 +154,15 @@
             raise RefusedError(f"status {status}")
 
     async def end_lease(self, lease: int) -> None:
-        """End a lease at once, with all that hangs on it, if it has not ended already."""
+        """End a lease and delete the keys attached to it, if it has not ended already."""
         status, _ = await self._call("DELETE", f"/holds/{lease}")
         if status not in (200, 404):
             raise RefusedError(f"status {status}")
 
     async def watch(self, prefix: str, after: int, hold_ms: int) -> wire.Events:
-        """Wait for changes after a revision."""
+        """Wait up to ``hold_ms`` for changes after a revision."""
         path = f"/follow?starts={prefix}&after={after}&hold_ms={hold_ms}"
-        status, body = await self._call("GET", path, timeout_s=hold_ms / 1000 + 3.0)
+        status, body = await self._call("GET", path, timeout_s=hold_ms / 1000 + _WATCH_MARGIN_S)
         if status == 410:
             raise CompactedError
         if status != 200:
--- a/mosswalk/store/records.py
+++ b/mosswalk/store/records.py
@@ -1,11 +1,11 @@
 """Keys and records in the state service.
 
-``m/`` holds all that controllers mirror: the term, the presence of controllers, machine types
-and unfinished jobs. A job that is over moves to ``f/``, which nobody mirrors, so neither memory
-nor start-up grows with history.
+Controllers mirror all keys under ``m/``: the term, the presence of each controller, machine types
+and unfinished jobs. A job that has ended, done or withdrawn, moves to ``f/``, which is not
+mirrored, so neither memory use nor start-up time grows with the number of ended jobs.
 
-A job's tasks are packed: done tasks as a bit mask, live attempts as short rows. The header
-holds the first ``chunk`` tasks; the rest are in chunks of that size under ``m/c/``. Every change
+A job's tasks are packed: done tasks as a bit mask, live attempts as short rows. The header holds
+the first ``chunk_size`` tasks; the others are in chunks of that size under ``m/c/``. Every change
 to a chunk also rewrites the header, so that the header's version guards the whole job.
 """
 
@@ -21,7 +21,7 @@
 
 encode = msgspec.json.encode
 
-# What a controller can do: the first version knows no gangs and no other layout of tasks.
+# Versions of the controller: the first one supports neither gangs nor jobs with a changed layout.
 FIRST_VERSION = 1
 GANG_VERSION = 2
 CURRENT_VERSION = GANG_VERSION
@@ -35,51 +35,51 @@
 CHUNK_PREFIX = "m/c/"
 FINAL_PREFIX = "f/"
 
-# A live attempt's row takes this many bytes where machines' names are short, and a header this
-# many besides its tasks and the job as it was submitted.
+# The maximum size of a live attempt's row while machine names are short.
 TYPICAL_MAX_ROW_BYTES = 44
-_HEADER_BYTES = 320
-_MOST_IN_CHUNK = 256
-# What a row takes besides the machine's name.
-_ROW_FRAME_BYTES = 34
+# The maximum size of a header without its tasks and the job spec.
+_MAX_HEADER_OVERHEAD_BYTES = 320
+_MAX_CHUNK_TASKS = 256
+# The maximum size of a row without the machine's name.
+_MAX_ROW_OVERHEAD_BYTES = 34
 
 
 def max_row_bytes(machine: str) -> int:
-    """The most that an attempt on a machine takes in a record."""
-    return _ROW_FRAME_BYTES + len(machine.encode())
+    """The maximum size of the row of an attempt on a machine, in bytes."""
+    return _MAX_ROW_OVERHEAD_BYTES + len(machine.encode())
 
 
 class RecordLimits(Struct, frozen=True):
-    """How large a record may be, and how many a transaction may write."""
+    """The maximum size of a record, and the maximum number of writes in a transaction."""
 
     value_bytes: int
     txn_ops: int
 
 
 def max_header_bytes(spec: JobSpec) -> int:
-    """The most that a job's header takes besides its tasks."""
-    return _HEADER_BYTES + len(encode(spec))
+    """The maximum size of a job's header without its tasks, in bytes."""
+    return _MAX_HEADER_OVERHEAD_BYTES + len(encode(spec))
 
 
 def chunk_size(limits: RecordLimits, spec: JobSpec) -> int:
-    """How many tasks of a job fit a record, all of them live."""
-    room = limits.value_bytes - max_header_bytes(spec)
-    return max(1, min(_MOST_IN_CHUNK, room // TYPICAL_MAX_ROW_BYTES))
+    """How many tasks of a job fit into a record if all of them have live attempts."""
+    available_bytes = limits.value_bytes - max_header_bytes(spec)
+    return max(1, min(_MAX_CHUNK_TASKS, available_bytes // TYPICAL_MAX_ROW_BYTES))
 
 
 def job_key(job_id: str) -> str:
-    """The header's key."""
+    """The key of a job's header."""
     return JOB_PREFIX + job_id
 
 
 def chunk_key(job_id: str, chunk: int, layout: int = 0) -> str:
-    """The key of a chunk beyond the header's own."""
+    """The key of a chunk other than the one in the header."""
     suffix = f".{layout}" if layout else ""
     return f"{CHUNK_PREFIX}{job_id}/{chunk:06d}{suffix}"
 
 
 class ChunkId(Struct, frozen=True):
-    """What a chunk's key says."""
+    """The parts of a chunk's key."""
 
     job: str
     chunk: int
@@ -87,19 +87,19 @@
 
 
 def parse_chunk_key(key: str) -> ChunkId:
-    """A chunk's key taken apart; ValueError if it is none."""
+    """Parse a chunk's key; ValueError if it is malformed."""
     job_id, _, text = key.removeprefix(CHUNK_PREFIX).partition("/")
     chunk, _, layout = text.partition(".")
     return ChunkId(job_id, int(chunk), int(layout or 0))
 
 
 def final_key(job_id: str) -> str:
-    """Where a job that is over is kept."""
+    """The key of the record of a job that has ended."""
     return FINAL_PREFIX + job_id
 
 
 class Attempt(Struct, frozen=True, array_like=True, gc=False):
-    """An attempt that may be running: it counts until it is proven gone."""
+    """A live attempt: one that may still run, because it is not proven to be terminated."""
 
     task: int
     number: int
@@ -109,56 +109,58 @@
 
 
 class TaskChunk(Struct, frozen=True, omit_defaults=True):
-    """The tasks of one record."""
+    """The tasks of one chunk: a bit mask of done tasks, and live attempts."""
 
     done: str = field(name="d", default="0")
     live: tuple[Attempt, ...] = field(name="a", default=())
 
     def done_mask(self) -> int:
-        """Done tasks as bits, the chunk's first task lowest."""
+        """The done tasks as bits; the lowest bit is the chunk's first task."""
         return int(self.done, 16)
 
 
-# placing: not all rows are written, nothing may start. placed: all are, and may start. ending: a
-# task was lost or the attempt is being stopped; nothing starts until every row is gone.
+# placing: not all rows are written, and no task may start. placed: all rows are written, and tasks
+# may start. ending: a task was lost or the attempt is being stopped; no task starts until all rows
+# are removed.
 GangPhase = Literal["", "placing", "placed", "ending"]
 
 
 class JobRecord(Struct, frozen=True, omit_defaults=True):
-    """A job's header with its first tasks."""
+    """A job's header, which includes the job's first chunk of tasks."""
 
     spec: JobSpec = field(name="s")
     submitted_at_us: int = field(name="t")
-    # How many tasks a record holds. A job that was split has its number under another name: a
-    # controller of the first version would write the header back without its layout, so it must
-    # not be able to read it.
+    # The number of tasks in a chunk. A job that was split stores it under another name instead
+    # (split_chunk_size): a controller of the first version would write the header back without its
+    # layout, so it must not be able to decode the header.
     initial_chunk_size: int = field(name="c", default=0)
     phase: Literal["open", "withdrawn"] = field(name="p", default="open")
     next_attempt: int = field(name="n", default=1)
     done_count: int = field(name="k", default=0)
     live_count: int = field(name="r", default=0)
-    # When it was withdrawn, by the time of day of the controller that did it.
+    # When the job was withdrawn, by the wall clock of the controller that withdrew it.
     withdrawn_at_us: int = field(name="w", default=0)
     tasks: TaskChunk = field(name="x", default=TaskChunk())
-    # Which chunks are the job's: a job that is split anew gets chunks under new keys, named by
-    # the header's version they were made from, and the header then names them.
+    # Identifies the chunks that belong to the job. When a job is split again, its chunks get new
+    # keys, whose layout number is the version of the header they were made from, and the new header
+    # then names that layout.
     layout: int = field(name="l", default=0)
     split_chunk_size: int = field(name="cs", default=0)
-    # How far the current attempt of a gang has come; empty for other jobs.
+    # The phase of a gang's current attempt; empty for other jobs.
     gang_phase: GangPhase = field(name="g", default="")
 
     @property
     def chunk_size(self) -> int:
-        """How many tasks a record holds."""
+        """The number of tasks in a chunk."""
         return self.split_chunk_size or self.initial_chunk_size
 
     def completed(self) -> bool:
-        """Whether all its tasks are done, though some may not have been reported gone."""
+        """Whether all tasks are done, even if some attempts are not proven terminated yet."""
         return self.done_count >= self.spec.tasks
 
 
 class FinalRecord(Struct, frozen=True, omit_defaults=True):
-    """A job that is over."""
+    """A job that has ended, done or withdrawn."""
 
     phase: Phase = field(name="p")
     done: int = field(name="d", default=0)
@@ -168,26 +170,27 @@
 
 
 class Verdict(Struct, frozen=True, omit_defaults=True):
-    """Why a controller's teams, or the lead, were given to others."""
+    """Why a controller's teams, or the leadership, were given to others."""
 
     node: str
     run: str
     reason: VerdictReason
-    # Who agreed that it is silent.
+    # The controllers that agreed that it is silent.
     observers: tuple[str, ...] = ()
 
 
 class TermRecord(Struct, frozen=True):
-    """Who leads, and who places for which team. The term is the epoch workers see."""
+    """The leader, and the owner of each team. Workers also see the term's number."""
 
     term: int
     leader: str
     owners: dict[str, str]
     # The run of each controller that the term was made for.
     runs: dict[str, str] = {}
-    # What every controller of this term can do; never lowered.
+    # The version that every controller of this term supports; it never decreases.
     version: int = FIRST_VERSION
-    # Whether all controllers took part in failure detection when a term first said so.
+    # Whether failure detection is in force: set in the first term for which all controllers took
+    # part in it, and never reset.
     detects: bool = False
     verdicts: tuple[Verdict, ...] = ()
 
@@ -195,14 +198,14 @@
 class _StoredTerm(Struct, frozen=True, omit_defaults=True):
     """A term as it is stored.
 
-    From ``GANG_VERSION`` on the leader is stored under another name. A controller of the first
-    version can't decode a term without ``leader``: it never leads and owns no team.
+    From ``GANG_VERSION`` (2) on, the leader is stored under another name. A controller of the first
+    version can't decode a term without ``leader``, so it never leads and owns no team.
     """
 
     term: int
     owners: dict[str, str]
     leader: str | None = None
-    fenced_leader: str | None = field(name="lead", default=None)
+    leader_v2: str | None = field(name="lead", default=None)
     runs: dict[str, str] = {}
     version: int = FIRST_VERSION
     detects: bool = False
@@ -210,12 +213,12 @@
 
 
 class Presence(Struct, frozen=True):
-    """A controller that is up, kept by its lease; one run of it is told from the next."""
+    """A running controller. The key expires with its lease; ``run`` identifies the process."""
 
     node: str
     run: str
     version: int = FIRST_VERSION
-    # Its lease, by which a verdict can fence it; told only if it takes part in detection.
+    # The lease that a verdict ends to fence the controller; set only if failure detection is on.
     lease: int | UnsetType = UNSET
 
 
@@ -228,14 +231,14 @@
 
 
 def encode_term(term: TermRecord) -> bytes:
-    """A term's bytes, readable by the controllers that may act in it only."""
-    fenced = term.version >= GANG_VERSION
+    """Encode a term so that only controllers that may act in it can decode it."""
+    uses_v2 = term.version >= GANG_VERSION
     return encode(
         _StoredTerm(
             term.term,
             term.owners,
-            leader=None if fenced else term.leader,
-            fenced_leader=term.leader if fenced else None,
+            leader=None if uses_v2 else term.leader,
+            leader_v2=term.leader if uses_v2 else None,
             runs=term.runs,
             version=term.version,
             detects=term.detects,
@@ -245,11 +248,11 @@
 
 
 def decode_term(value: bytes) -> TermRecord:
-    """A term from its bytes."""
+    """Decode a term."""
     stored = _decode_stored_term(value)
-    leader = stored.fenced_leader if stored.leader is None else stored.leader
+    leader = stored.leader_v2 if stored.leader is None else stored.leader
     if leader is None:
-        raise msgspec.ValidationError("a term without a leader")
+        raise msgspec.ValidationError("the term record has no leader")
     return TermRecord(
         stored.term,
         leader,
--- a/mosswalk/store/writer.py
+++ b/mosswalk/store/writer.py
@@ -1,9 +1,9 @@
-"""Group commit within the write budget.
+"""Group commit within the write rate of the state service.
 
-Requests whose guards are independent share a transaction. A transaction with no known outcome
-is sent again, unchanged, until the service gives a definite answer: its guards name exact
-versions, so of several copies at most one can apply, and a late one can't apply after another
-change to the same keys. Until then nothing else is built on what it may have done.
+Changes that do not conflict are committed in batches, one transaction each. A transaction whose
+outcome is unknown is sent again, unchanged, until the service gives a definite answer. Its guards
+name exact versions, so at most one of several copies can apply, and a delayed copy can't apply
+after another change to the same keys. Until then no other change is based on its possible effects.
 """
 
 from __future__ import annotations
@@ -33,50 +33,61 @@
 
 log = logging.getLogger(__name__)
 
-_MAX_BYTES = 60 * 1024
-_IN_FLIGHT = 4
-# How often, and how long apart, the guards of a transaction are looked at whose kind is open.
-_REJECTED_LOOKS = 20
-_REJECTED_PAUSE_S = 1.0
+_MAX_TRANSACTION_BYTES = 60 * 1024
+_MAX_COMMITS_IN_FLIGHT = 4
+_MAX_GUARDS_PER_OP = 4
+# Estimated sizes in an encoded transaction; that of a put is without its key and value.
+_PUT_OVERHEAD_BYTES = 40
+_GUARD_OR_DELETE_BYTES = 60
+# The writes of this many seconds may be sent in one burst.
+_BURST_S = 0.8
+_FIRST_RETRY_S = 0.1
+_MAX_RETRY_S = 1.0
+_RETRY_GROWTH = 1.6
+# How many times, and how far apart, the guards of a transaction are checked that was rejected while
+# the outcome of an earlier copy was unknown.
+_MAX_REJECTED_CHECKS = 20
+_REJECTED_CHECK_PAUSE_S = 1.0
 
 
 class CommitGate(Protocol):
-    """Who is asked right before a commit is sent."""
+    """A check right before each commit is sent."""
 
     async def admit(self, guards: Mapping[str, int], *, sent_before: bool) -> None:
-        """Return if it may be sent; RefusedError if not now, ConflictError if it must fail."""
+        """Return if it may be sent; RefusedError if not yet, ConflictError if it must fail."""
 
 
 class Change(Struct):
-    """Puts and deletes that are applied together, if the guards hold."""
+    """Puts and deletes that are applied atomically if the guards hold."""
 
     guards: dict[str, int]
     puts: dict[str, Raw]
     deletes: tuple[str, ...] = ()
-    # Turned down at once when the service refuses, instead of tried again.
+    # Whether the change fails at once when the service refuses it, instead of being retried.
     fail_fast: bool = False
 
     def write_count(self) -> int:
-        """How many writes it takes."""
+        """The number of writes in the change."""
         return len(self.puts) + len(self.deletes)
 
     def estimated_bytes(self) -> int:
-        """Roughly how much room it takes in a transaction."""
-        return sum(len(bytes(v)) + len(k) + 40 for k, v in self.puts.items()) + 60 * (
-            len(self.guards) + len(self.deletes)
-        )
+        """The estimated size of the change in a transaction, in bytes."""
+        return sum(
+            len(bytes(v)) + len(k) + _PUT_OVERHEAD_BYTES for k, v in self.puts.items()
+        ) + _GUARD_OR_DELETE_BYTES * (len(self.guards) + len(self.deletes))
 
 
-class _Waiting:
+class _QueuedChange:
     def __init__(self, change: Change, future: asyncio.Future[int]) -> None:
         self.change = change
         self.future = future
-        # Its group was answered 400: it is committed by itself, so that only the culprit fails.
-        self.alone = False
+        # Set after its batch was rejected with 400: each change is then committed on its own, so
+        # that only the change that caused the rejection fails.
+        self.commit_alone = False
 
 
 class GroupWriter:
-    """Takes changes and commits them in groups."""
+    """Queues changes and commits them in batches."""
 
     def __init__(
         self, client: StateClient, clock: Clock, rng: random.Random, write_rps: float, txn_ops: int
@@ -84,114 +95,124 @@
         self._client = client
         self._clock = clock
         self._rng = rng
-        self._ops = txn_ops
+        self._max_ops = txn_ops
         self._write_rps = write_rps
-        self._part = 1.0
+        self._rate_share = 1.0
         self._throttle = Throttle()
-        self._burst = max(1.0, write_rps * 0.8)
+        self._burst = max(1.0, write_rps * _BURST_S)
         self._bucket = TokenBucket(write_rps, self._burst, clock.now_us())
-        self._queue: deque[_Waiting] = deque()
+        self._queue: deque[_QueuedChange] = deque()
         self._wake = asyncio.Event()
-        self._broken: BaseException | None = None
+        self._failure: BaseException | None = None
         self.gate: CommitGate | None = None
 
     async def commit(self, change: Change) -> int:
-        """The revision of the change; ConflictError, RefusedError or UnknownOutcomeError."""
-        if change.write_count() > self._ops:
-            raise ValueError(f"a change of {change.write_count()} writes can't be one transaction")
+        """Commit a change and return its revision.
+
+        Raises ConflictError, RefusedError or UnknownOutcomeError.
+        """
+        if change.write_count() > self._max_ops:
+            raise ValueError(
+                f"a change of {change.write_count()} writes does not fit into one transaction"
+            )
         future: asyncio.Future[int] = asyncio.get_running_loop().create_future()
-        self._queue.append(_Waiting(change, future))
+        self._queue.append(_QueuedChange(change, future))
         self._wake.set()
         return await future
 
-    def set_rate_share(self, part: float) -> None:
-        """Use this part of the writes: the service counts all controllers' together."""
-        if part != self._part:
-            self._part = part
+    def set_rate_share(self, share: float) -> None:
+        """Set this writer's share of the write rate, a limit that all controllers share."""
+        if share != self._rate_share:
+            self._rate_share = share
             self._adjust_rate()
 
     def _adjust_rate(self) -> None:
         now_us = self._clock.now_us()
-        rate = self._write_rps * self._part * self._throttle.factor(now_us)
+        rate = self._write_rps * self._rate_share * self._throttle.factor(now_us)
         self._bucket.change_rate(rate, now_us)
 
     def has_spare_rate(self) -> bool:
-        """Whether a write now would keep nobody waiting."""
+        """Whether a write now would not delay other writes."""
         return not self._queue and self._bucket.available(self._clock.now_us()) > self._burst / 2
 
     def estimated_wait_s(self) -> float:
-        """How long a change of one write that comes now would wait for its turn, roughly."""
-        return len(self._queue) / (self._write_rps * self._part)
+        """Roughly how long a change of one write would wait in the queue if it were added now."""
+        return len(self._queue) / (self._write_rps * self._rate_share)
 
     def queue_length(self) -> int:
-        """How many changes wait for their turn."""
+        """The number of changes in the queue."""
         return len(self._queue)
 
-    def _next_group(self) -> list[_Waiting]:
-        group: list[_Waiting] = []
+    def _next_batch(self) -> list[_QueuedChange]:
+        batch: list[_QueuedChange] = []
         ops = size = 0
         guards: dict[str, int] = {}
-        touched: set[str] = set()
+        written_keys: set[str] = set()
         while self._queue:
             change = self._queue[0].change
             if self._queue[0].future.done():
                 self._queue.popleft()
                 continue
             keys = {*change.puts, *change.deletes}
-            clash = touched & keys or any(guards.get(k, v) != v for k, v in change.guards.items())
+            conflicts = written_keys & keys or any(
+                guards.get(k, v) != v for k, v in change.guards.items()
+            )
             ops += change.write_count()
             size += change.estimated_bytes()
-            if group and (ops > self._ops or size > _MAX_BYTES or clash):
+            if batch and (ops > self._max_ops or size > _MAX_TRANSACTION_BYTES or conflicts):
                 break
-            if group and (self._queue[0].alone or group[0].alone):
+            if batch and (self._queue[0].commit_alone or batch[0].commit_alone):
                 break
-            if group and len(guards.keys() | change.guards.keys()) > 4 * self._ops:
+            if (
+                batch
+                and len(guards.keys() | change.guards.keys()) > _MAX_GUARDS_PER_OP * self._max_ops
+            ):
                 break
             guards.update(change.guards)
-            touched |= keys
-            group.append(self._queue.popleft())
-        return group
+            written_keys |= keys
+            batch.append(self._queue.popleft())
+        return batch
 
     async def run(self) -> None:
-        """Commit groups for ever."""
+        """Commit batches until a commit fails unexpectedly; then RuntimeError."""
         running: set[asyncio.Task[None]] = set()
 
-        def finished(task: asyncio.Task[None]) -> None:
+        def on_done(task: asyncio.Task[None]) -> None:
             running.discard(task)
             if not task.cancelled() and task.exception() is not None:
-                self._broken = task.exception()
+                self._failure = task.exception()
                 self._wake.set()
 
         while True:
-            if self._broken is not None:
-                # A kind nobody knows: the process must end, and its next run's new term settles
-                # what this one may have written.
-                raise RuntimeError("a commit failed unexpectedly") from self._broken
+            if self._failure is not None:
+                # The outcome of that commit is unknown, so the process must end. The new term made
+                # for its next run settles what this run may have written.
+                raise RuntimeError("a commit failed unexpectedly") from self._failure
             if not self._queue:
                 self._wake.clear()
                 await self._wake.wait()
-            if len(running) >= _IN_FLIGHT:
+            if len(running) >= _MAX_COMMITS_IN_FLIGHT:
                 await asyncio.wait(running, return_when=asyncio.FIRST_COMPLETED)
                 continue
-            # Others that are ready in this turn of the loop join the group.
+            # Changes of tasks that are ready in this iteration of the event loop join the batch.
             await asyncio.sleep(0)
-            group = self._next_group()
-            if not group:
+            batch = self._next_batch()
+            if not batch:
                 continue
             if self._throttle.poll_increase(self._clock.now_us()):
                 self._adjust_rate()
-            ops = sum(w.change.write_count() for w in group)
+            ops = sum(queued.change.write_count() for queued in batch)
             wait_us = self._bucket.reserve_us(self._clock.now_us(), max(ops, 0.1))
             if wait_us > 0:
                 await asyncio.sleep(to_s(wait_us))
-            task = asyncio.create_task(self._commit_group(group))
+            task = asyncio.create_task(self._commit_batch(batch))
             running.add(task)
-            task.add_done_callback(finished)
+            task.add_done_callback(on_done)
 
-    async def _commit_group(self, group: list[_Waiting]) -> None:
-        guards = {k: v for w in group for k, v in w.change.guards.items()}
-        puts = {k: v for w in group for k, v in w.change.puts.items()}
-        deletes = [k for w in group for k in w.change.deletes]
+    async def _commit_batch(self, batch: list[_QueuedChange]) -> None:
+        guards = {k: v for queued in batch for k, v in queued.change.guards.items()}
+        puts = {k: v for queued in batch for k, v in queued.change.puts.items()}
+        deletes = [k for queued in batch for k in queued.change.deletes]
         transaction = wire.Transaction(
             tuple(wire.Guard(k, v) for k, v in guards.items()),
             (
@@ -199,108 +220,113 @@
                 *(wire.Write(delete=k) for k in deletes),
             ),
         )
-        unknown = False
-        pause_s = 0.1
+        outcome_unknown = False
+        pause_s = _FIRST_RETRY_S
         while True:
             try:
                 if self.gate is not None:
-                    await self.gate.admit(guards, sent_before=unknown)
+                    await self.gate.admit(guards, sent_before=outcome_unknown)
                 revision = await self._client.commit(transaction)
             except ConflictError as conflict:
-                self._sort_out(group, set(conflict.failed), conflict)
+                self._resolve_conflict(batch, set(conflict.failed), conflict)
                 return
             except NoLeaseError:
-                self._fail(group, RefusedError("no such lease"))
+                self._fail(batch, RefusedError("no such lease"))
                 return
             except InvalidRequestError as error:
-                if unknown:
-                    await self._settle_rejected(group, guards)
+                if outcome_unknown:
+                    await self._resolve_rejected(batch, guards)
                 else:
-                    self._isolate(group, error)
+                    self._retry_one_by_one(batch, error)
                 return
             except RefusedError as error:
                 if isinstance(error, ThrottledError):
                     self._throttle.note_refusal(self._clock.now_us())
                     self._adjust_rate()
-                if not unknown:
-                    group = self._fail_impatient(group, error)
-                    if not group:
+                if not outcome_unknown:
+                    batch = self._reject_fail_fast(batch, error)
+                    if not batch:
                         return
-                    # Nothing was carried out, so the rest may be grouped anew.
+                    # Nothing was applied, so the remaining changes may form other batches.
                     await asyncio.sleep(pause_s * self._rng.uniform(0.7, 1.3))
-                    self._queue.extendleft(reversed(group))
+                    self._queue.extendleft(reversed(batch))
                     self._wake.set()
                     return
             except UnknownOutcomeError as error:
-                unknown = True
-                log.info("commit with no answer, sent again as it is: %s", error)
+                outcome_unknown = True
+                log.info("no answer to a commit, sending it again unchanged: %s", error)
             else:
-                for waiting in group:
-                    if not waiting.future.done():
-                        waiting.future.set_result(revision)
+                for queued in batch:
+                    if not queued.future.done():
+                        queued.future.set_result(revision)
                 return
-            # No giving up here: an owner that took an unknown outcome for a failure would count
-            # quota without attempts that a late copy may still bring.
+            # A commit of unknown outcome is sent again without limit. A team owner that treated it
+            # as failed would compute quotas without attempts that a delayed copy may still write.
             await asyncio.sleep(pause_s * self._rng.uniform(0.7, 1.3))
-            pause_s = min(1.0, pause_s * 1.6)
+            pause_s = min(_MAX_RETRY_S, pause_s * _RETRY_GROWTH)
 
-    async def _settle_rejected(self, group: list[_Waiting], guards: dict[str, int]) -> None:
-        """A transaction without an answer is turned down when it is sent again.
+    async def _resolve_rejected(self, batch: list[_QueuedChange], guards: dict[str, int]) -> None:
+        """Resolve a transaction that was rejected with 400 after an earlier copy got no answer.
 
-        Limits were lowered in between, so the first copy may have been carried out, or may be
-        later. It can't be any more once one of its guards has changed.
+        The service's limits were lowered in between, so the earlier copy may have been applied, or
+        may still be. It can no longer be applied once the version of a guarded key has changed.
         """
-        impatient = [w for w in group if w.change.fail_fast]
-        self._fail(impatient, UnknownOutcomeError("turned down after no answer"))
-        for _ in range(_REJECTED_LOOKS):
-            rows = [await self._look(key) for key in guards]
+        fail_fast = [queued for queued in batch if queued.change.fail_fast]
+        self._fail(fail_fast, UnknownOutcomeError("rejected after an earlier copy got no answer"))
+        for _ in range(_MAX_REJECTED_CHECKS):
+            versions = [await self._read_version(key) for key in guards]
             failed = tuple(
-                k for k, v in zip(guards, rows, strict=True) if v not in (None, guards[k])
+                k for k, v in zip(guards, versions, strict=True) if v not in (None, guards[k])
             )
             if failed:
-                self._fail(group, ConflictError(failed))
+                self._fail(batch, ConflictError(failed))
                 return
-            await asyncio.sleep(_REJECTED_PAUSE_S)
-        if len(impatient) < len(group):
-            # Nothing else outdates what was sent: the next run's new term does.
-            raise InvalidRequestError("a transaction of unknown outcome was turned down")
-
-    async def _look(self, key: str) -> int | None:
-        """A key's version, or None if it can't be told."""
+            await asyncio.sleep(_REJECTED_CHECK_PAUSE_S)
+        if len(fail_fast) < len(batch):
+            # Nothing else invalidates the earlier copy: the process must end, and the new term for
+            # its next run does.
+            raise InvalidRequestError("a transaction of unknown outcome was rejected")
+
+    async def _read_version(self, key: str) -> int | None:
+        """A key's version, 0 if it does not exist, or None if it can't be read."""
         try:
             row = await self._client.get(key)
         except (RefusedError, UnknownOutcomeError):
             return None
         return row.version if row is not None else 0
 
-    def _isolate(self, group: list[_Waiting], error: Exception) -> None:
-        """Fail a change that the service can't take; those of a group go again one by one."""
-        if len(group) == 1:
-            self._fail(group, error)
+    def _retry_one_by_one(self, batch: list[_QueuedChange], error: Exception) -> None:
+        """Fail a single rejected change; queue those of a larger batch to be sent one by one."""
+        if len(batch) == 1:
+            self._fail(batch, error)
             return
-        for waiting in group:
-            waiting.alone = True
-        self._queue.extendleft(reversed(group))
+        for queued in batch:
+            queued.commit_alone = True
+        self._queue.extendleft(reversed(batch))
         self._wake.set()
 
-    def _fail(self, group: list[_Waiting], error: Exception) -> None:
-        for waiting in group:
-            if not waiting.future.done():
-                waiting.future.set_exception(error)
-
-    def _fail_impatient(self, group: list[_Waiting], error: Exception) -> list[_Waiting]:
-        self._fail([w for w in group if w.change.fail_fast], error)
-        return [w for w in group if not w.change.fail_fast]
-
-    def _sort_out(self, group: list[_Waiting], failed: set[str], error: ConflictError) -> None:
-        blamed = [w for w in group if failed & w.change.guards.keys()]
-        # An answer that names none of our guards would be sent again for ever.
-        if not blamed:
-            blamed = group
-        self._fail(blamed, error)
-        # A late copy of this transaction fails by the guard that failed now, since versions
-        # never return: the others may go again on their own.
-        rest = [w for w in group if w not in blamed]
-        self._queue.extendleft(reversed(rest))
-        if rest:
+    def _fail(self, batch: list[_QueuedChange], error: Exception) -> None:
+        for queued in batch:
+            if not queued.future.done():
+                queued.future.set_exception(error)
+
+    def _reject_fail_fast(
+        self, batch: list[_QueuedChange], error: Exception
+    ) -> list[_QueuedChange]:
+        self._fail([queued for queued in batch if queued.change.fail_fast], error)
+        return [queued for queued in batch if not queued.change.fail_fast]
+
+    def _resolve_conflict(
+        self, batch: list[_QueuedChange], failed: set[str], error: ConflictError
+    ) -> None:
+        conflicting = [queued for queued in batch if failed & queued.change.guards.keys()]
+        # If the answer names none of the guards, retrying the others would never end.
+        if not conflicting:
+            conflicting = batch
+        self._fail(conflicting, error)
+        # A delayed copy of this transaction fails by the same guard, because versions never recur.
+        # The other changes may therefore be committed again.
+        others = [queued for queued in batch if queued not in conflicting]
+        self._queue.extendleft(reversed(others))
+        if others:
             self._wake.set()
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -309,7 +309,7 @@
 
 def test_workers_of_a_zone_that_is_cut_off_are_kept_alive_there(monkeypatch):
     monkeypatch.setattr(health, "MAX_CONFIRMATION_AGE_US", 1_500_000)
-    monkeypatch.setattr(mirror, "_HOLD_MS", 300)
+    monkeypatch.setattr(mirror, "_WATCH_HOLD_MS", 300)
 
     async def test(world, users):
         inside = "moss-2"  # the only one in zone b
