--- a/mosswalk/store/writer.py
+++ b/mosswalk/store/writer.py
@@ -194,7 +194,7 @@
             if len(running) >= _MAX_COMMITS_IN_FLIGHT:
                 await asyncio.wait(running, return_when=asyncio.FIRST_COMPLETED)
                 continue
-            # Changes of tasks that are ready in this iteration of the event loop join the batch.
+            # Changes from coroutines that are ready in this iteration of the loop join the batch.
             await asyncio.sleep(0)
             batch = self._next_batch()
             if not batch:
@@ -320,7 +320,7 @@
         self, batch: list[_QueuedChange], failed: set[str], error: ConflictError
     ) -> None:
         conflicting = [queued for queued in batch if failed & queued.change.guards.keys()]
-        # If the answer names none of the guards, retrying the others would never end.
+        # If the answer names none of these guards, all changes fail: retrying would never end.
         if not conflicting:
             conflicting = batch
         self._fail(conflicting, error)
