--- a/mosswalk/detection/__init__.py
+++ b/mosswalk/detection/__init__.py
@@ -1,4 +1,6 @@
-"""Failure detection among controllers: suspicion first, then a verdict that a lease has fenced.
+"""Failure detection among controllers.
 
-Imported only if the operators' file has a ``detection`` block. See docs/detection.md.
+A controller that is not heard from is suspected first. A verdict that it is dead follows only
+after its lease in the state service has been ended, which fences it. This package is imported
+only if the operators' file has a ``detection`` block. See docs/detection.md.
 """
--- a/mosswalk/detection/detector.py
+++ b/mosswalk/detection/detector.py
@@ -1,4 +1,4 @@
-"""The failure detector's actor: decides each tick who is suspected, and fences the dead."""
+"""The failure detector: decides on each tick who is suspected, and fences dead controllers."""
 
 from __future__ import annotations
 
@@ -35,23 +35,23 @@
 
 log = logging.getLogger(__name__)
 
-# A tick later than this part of the floor is a stall of our own.
-_STALL_PART = 0.5
-# One that was heard within this part of a period need not be sent a heartbeat; but it is asked at
-# least once in so many periods.
-_EXCHANGE_PART = 0.75
-_ASK_PERIODS = 2.5
+# A tick that is late by more than this fraction of ``floor_s`` is a stall of this process.
+_STALL_LIMIT_FRACTION = 0.5
+# In heartbeat periods: a controller is sent a heartbeat if it was last heard longer ago than the
+# first, or if it last answered a request longer ago than the second.
+_EXCHANGE_AFTER_PERIODS = 0.75
+_REQUEST_AFTER_PERIODS = 2.5
 
 
 class LeaseEnder(Protocol):
-    """How a lease is ended in the state service."""
+    """Ends leases in the state service."""
 
     async def end_lease(self, lease: int) -> None:
-        """End a lease at once; it does not matter if it has ended already."""
+        """End a lease at once; one that has ended already is no error."""
 
 
 class Detector:
-    """Owns what this controller holds of the others."""
+    """Monitors the other controllers and gives verdicts on those that are dead."""
 
     def __init__(
         self,
@@ -72,22 +72,22 @@
         self._rng = rng
         self._node = settings.host_name
         now_us = clock.now_us()
-        self._suspicions = {
+        self._monitors = {
             peer.host_name: PeerMonitor(peer.host_name, tuning, now_us) for peer in settings.known
         }
-        self._controllers = len(self._suspicions) + 1
-        limit_us = to_us(_STALL_PART * tuning.floor_s)
-        self._stall = StallMonitor(now_us, clock.wall_us(), limit_us)
+        self._controller_count = len(self._monitors) + 1
+        stall_limit_us = to_us(_STALL_LIMIT_FRACTION * tuning.floor_s)
+        self._stall_monitor = StallMonitor(now_us, clock.wall_us(), stall_limit_us)
         self._heartbeats = HeartbeatExchange(
-            tuning, leadership, self._suspicions, self._stall, peers, clock, rng
+            tuning, leadership, self._monitors, self._stall_monitor, peers, clock, rng
         )
-        # A word older than this is no vote.
-        self._oldest_us = to_us(tuning.ceiling_s)
+        # An older heartbeat of an observer is not counted as a vote.
+        self._max_vote_age_us = to_us(tuning.ceiling_s)
         self._cut_off: frozenset[str] = frozenset()
-        # The last verdict given here on each controller.
-        self._given: dict[str, Verdict] = {}
+        # The latest verdict that this controller has given on each other one.
+        self._verdicts: dict[str, Verdict] = {}
         self._verdict_count = 0
-        # From the last sign of life to the last verdict given here.
+        # Of the latest of these verdicts: time since the last contact.
         self._time_to_verdict_us = 0
         self._known_runs: dict[str, str] = {}
         self._exchanging: set[str] = set()
@@ -96,86 +96,94 @@
         self._tasks: set[asyncio.Task[None]] = set()
         self.renewer: LeaseRenewer | None = None
 
-    # What others ask.
+    # Queries and requests from other components.
 
     def is_active(self) -> bool:
-        """Whether the term says that all controllers took part."""
+        """Whether all controllers took part in detection when the current term was made."""
         term = self._leadership.term
         return term is not None and term.detects
 
     def suspected(self) -> frozenset[str]:
-        """Those that get nothing new; who is gone has nothing, and keeps nobody waiting."""
+        """Present controllers that are suspected: they get nothing new.
+
+        Absent ones are left out, since they own nothing that could be withheld or waited for.
+        """
         if not self.is_active():
             return frozenset()
-        here = self._here()
-        return frozenset(n for n, p in self._suspicions.items() if p.suspected and n in here)
+        present = self._present()
+        return frozenset(n for n, p in self._monitors.items() if p.suspected and n in present)
 
     def verdict(self, node: str, run: str) -> Verdict:
-        """Why a controller's teams, or the lead, are given to others."""
-        given = self._given.get(node)
-        if given is not None and given.run == run:
-            return given
-        present = self._here().get(node)
+        """The reason why a run of a controller loses its teams or the leadership."""
+        recorded = self._verdicts.get(node)
+        if recorded is not None and recorded.run == run:
+            return recorded
+        present = self._present().get(node)
         if present is not None and present.run == run:
             return Verdict(node, run, "cut_off")
-        # Another observer may have ended its lease a moment before we would have.
-        peer = self._suspicions.get(node)
-        agreed = self._votes(peer) if peer is not None and peer.run == run else ()
-        if len(agreed) >= quorum_size(self._controllers):
-            return Verdict(node, run, "quorum", tuple(vote.observer for vote in agreed))
+        # Another observer may have ended its lease shortly before this one would have.
+        peer = self._monitors.get(node)
+        votes = self._current_votes(peer) if peer is not None and peer.run == run else ()
+        if len(votes) >= quorum_size(self._controller_count):
+            return Verdict(node, run, "quorum", tuple(vote.observer for vote in votes))
         return Verdict(node, run, "lease")
 
-    def _votes(self, peer: PeerMonitor) -> tuple[Vote, ...]:
+    def _current_votes(self, peer: PeerMonitor) -> tuple[Vote, ...]:
         now_us = self._clock.now_us()
-        return collect_votes(peer, self._node, self._heartbeats.received, now_us, self._oldest_us)
+        return collect_votes(
+            peer, self._node, self._heartbeats.received, now_us, self._max_vote_age_us
+        )
 
     def handle_heartbeat(self, heartbeat: Heartbeat) -> Heartbeat | None:
-        """A heartbeat has come; ours for the answer, or None to a stranger."""
-        if heartbeat.node not in self._suspicions:
+        """Process a heartbeat; returns the answering one, or None for an unknown controller."""
+        if heartbeat.node not in self._monitors:
             return None
         self._heartbeats.handle_heartbeat(heartbeat)
         return self._heartbeats.own_heartbeat()
 
     async def probe(self, subject: str) -> ProbeAnswer:
-        """Try to reach a controller for another one."""
-        if subject not in self._suspicions:
+        """Try to reach a controller on behalf of another one."""
+        if subject not in self._monitors:
             return ProbeAnswer(False)
         return ProbeAnswer(await self._heartbeats.exchange(subject))
 
-    # Each tick.
+    # Periodic work.
 
     async def run(self) -> None:
-        """Tick for ever."""
+        """Tick about once in each heartbeat period; never returns."""
         while True:
             await asyncio.sleep(self._tuning.heartbeat_s * self._rng.uniform(0.9, 1.0))
             self._heartbeats.check_for_stall()
-            self._stall.record_tick(self._clock.now_us(), self._clock.wall_us())
+            self._stall_monitor.record_tick(self._clock.now_us(), self._clock.wall_us())
             self.tick()
 
     def tick(self) -> None:
-        """Send heartbeats and decide anew."""
-        now_us, listening_us = self._clock.now_us(), self._stall.listening_since_us
-        self._note_presences(now_us, listening_us)
-        for node, peer in self._suspicions.items():
+        """Send heartbeats and probes, and re-evaluate states and verdicts."""
+        now_us, listening_since_us = self._clock.now_us(), self._stall_monitor.listening_since_us
+        self._record_new_presences(now_us, listening_since_us)
+        for node, peer in self._monitors.items():
             if self._exchange_due(peer, now_us):
                 self._start_exchange(node)
-            if peer.needs_probe(now_us, listening_us) and node not in self._probing:
+            if peer.needs_probe(now_us, listening_since_us) and node not in self._probing:
                 self._probing.add(node)
-                self._spawn(self._probe_others(peer))
-            self._observe(peer)
+                self._spawn(self._probe_through_others(peer))
+            self._update_peer(peer)
         if self.is_active() and self.fence.may_act():
-            self._judge(now_us, listening_us)
+            self._evaluate_peers(now_us, listening_since_us)
 
     def _exchange_due(self, peer: PeerMonitor, now_us: int) -> bool:
-        """Whether to send a heartbeat: one exchange a pair and period tells both of each other.
+        """Whether to send a heartbeat to a controller now.
 
-        Now and then each has to ask itself, to know that its own requests arrive.
+        One exchange in each period informs both sides. Each side still has to send a request from
+        time to time, to know that its own requests arrive.
         """
         if peer.suspected or peer.state != "alive":
             return True
         heartbeat_us = to_us(self._tuning.heartbeat_s)
-        unheard = now_us - peer.last_heard_at_us > _EXCHANGE_PART * heartbeat_us
-        return unheard or now_us - peer.last_answered_at_us > _ASK_PERIODS * heartbeat_us
+        contact_due = now_us - peer.last_heard_at_us > _EXCHANGE_AFTER_PERIODS * heartbeat_us
+        return (
+            contact_due or now_us - peer.last_answered_at_us > _REQUEST_AFTER_PERIODS * heartbeat_us
+        )
 
     def _start_exchange(self, node: str) -> None:
         if node not in self._exchanging:
@@ -188,37 +196,37 @@
         finally:
             self._exchanging.discard(node)
 
-    async def _probe_others(self, peer: PeerMonitor) -> None:
-        """Ask third controllers before anything is concluded from a silence."""
+    async def _probe_through_others(self, peer: PeerMonitor) -> None:
+        """Ask third controllers, then re-evaluate the state of the silent one."""
         try:
             await self._heartbeats.probe_through_others(peer)
         finally:
             self._probing.discard(peer.node)
-        self._observe(peer)
+        self._update_peer(peer)
 
-    def _here(self) -> dict[str, Presence]:
+    def _present(self) -> dict[str, Presence]:
         return self._leadership.present
 
-    def _observe(self, peer: PeerMonitor) -> None:
-        change = peer.update_state(self._clock.now_us(), self._stall.listening_since_us)
+    def _update_peer(self, peer: PeerMonitor) -> None:
+        change = peer.update_state(self._clock.now_us(), self._stall_monitor.listening_since_us)
         if change is None:
             return
         self._log_change(change)
-        # The others' verdicts wait for our word.
-        for node in self._suspicions:
+        # Report the change at once: the other controllers' verdicts depend on this vote.
+        for node in self._monitors:
             self._start_exchange(node)
 
-    def _note_presences(self, now_us: int, listening_us: int) -> None:
-        """A presence that is new in the state service is a sign of life."""
-        for node, peer in self._suspicions.items():
-            present = self._here().get(node)
+    def _record_new_presences(self, now_us: int, listening_since_us: int) -> None:
+        """Count a presence of a new run in the state service as a contact."""
+        for node, peer in self._monitors.items():
+            present = self._present().get(node)
             if present is not None and present.run != self._known_runs.get(node):
                 self._known_runs[node] = present.run
-                peer.record_contact(present.run, now_us, listening_us)
+                peer.record_contact(present.run, now_us, listening_since_us)
 
     def _log_change(self, change: StateChange) -> None:
         log.info(
-            "%s: %s -> %s (silent for %.2f s, patience %.2f s): %s",
+            "%s: %s -> %s (silent for %.2f s, timeout %.2f s): %s",
             change.node,
             change.before,
             change.after,
@@ -229,81 +237,81 @@
 
     # Verdicts.
 
-    def _judge(self, now_us: int, listening_us: int) -> None:
+    def _evaluate_peers(self, now_us: int, listening_since_us: int) -> None:
         leads = self._leadership.leads()
         leader = self._leadership.leader()
         cut_off = set()
-        for node, peer in self._suspicions.items():
+        for node, peer in self._monitors.items():
             was_cut_off = node in self._cut_off
-            if leads and is_cut_off(peer, was_cut_off, now_us, listening_us, self._tuning):
+            if leads and is_cut_off(peer, was_cut_off, now_us, listening_since_us, self._tuning):
                 cut_off.add(node)
             if leads or node == leader:
-                self._judge_one(peer, now_us, listening_us)
+                self._evaluate_peer(peer, now_us, listening_since_us)
         self._cut_off = frozenset(cut_off)
         if leads:
-            self._leadership.note_unreachable(self._cut_off & self._here().keys())
+            self._leadership.note_unreachable(self._cut_off & self._present().keys())
 
-    def _judge_one(self, peer: PeerMonitor, now_us: int, listening_us: int) -> None:
-        present = self._here().get(peer.node)
+    def _evaluate_peer(self, peer: PeerMonitor, now_us: int, listening_since_us: int) -> None:
+        present = self._present().get(peer.node)
         if present is None or present.run != peer.run or present.lease is UNSET:
             return
-        agreed = self._votes(peer)
+        votes = self._current_votes(peer)
         if peer.node in self._fencing or not is_dead(
-            peer, agreed, self._controllers, now_us, listening_us, self._tuning
+            peer, votes, self._controller_count, now_us, listening_since_us, self._tuning
         ):
             return
-        observers = tuple(vote.observer for vote in agreed)
+        observers = tuple(vote.observer for vote in votes)
         verdict = Verdict(peer.node, peer.run, "quorum", observers)
         self._fencing.add(peer.node)
         self._spawn(self._fence_off(peer, verdict, present.lease))
 
     async def _fence_off(self, peer: PeerMonitor, verdict: Verdict, lease: int) -> None:
-        """End a lease; where the state service does not do so, no verdict is given."""
+        """End a lease and record the verdict; if the lease can't be ended, no verdict is given."""
         try:
             await self._client.end_lease(lease)
         except (RefusedError, UnknownOutcomeError) as error:
-            log.info("%s: no verdict, its lease could not be ended: %s", peer.node, error)
+            log.info("%s: no verdict, because its lease could not be ended: %s", peer.node, error)
             return
         finally:
             self._fencing.discard(peer.node)
-        after_us = self._clock.now_us() - peer.last_heard_at_us
+        silence_us = self._clock.now_us() - peer.last_heard_at_us
         peer.verdict_given = True
-        self._given[peer.node] = verdict
-        self._time_to_verdict_us = after_us
+        self._verdicts[peer.node] = verdict
+        self._time_to_verdict_us = silence_us
         self._verdict_count += 1
         log.info(
-            "%s: dead, %s agree, last heard %.2f s ago; its lease %d has been ended",
+            "%s: dead, agreed by %s, last heard %.2f s ago; its lease %d has been ended",
             peer.node,
             ", ".join(verdict.observers),
-            after_us / SECOND_US,
+            silence_us / SECOND_US,
             lease,
         )
 
-    # What operators see.
+    # Views and metrics for operators.
 
     def metrics(self) -> DetectionMetrics:
-        """Counts for the metrics."""
-        now_us, listening_us = self._clock.now_us(), self._stall.listening_since_us
-        peers = self._suspicions.values()
+        """The values for the metrics."""
+        now_us, listening_since_us = self._clock.now_us(), self._stall_monitor.listening_since_us
+        peers = self._monitors.values()
         return DetectionMetrics(
             sum(peer.suspicions for peer in peers),
             sum(peer.false_suspicions for peer in peers),
             self._verdict_count,
             to_s(self._time_to_verdict_us),
-            self._stall.stalls,
+            self._stall_monitor.stalls,
             self.fence.freezes,
             self.renewer.renewals if self.renewer is not None else 0,
-            {peer.node: peer.suspicion_level(now_us, listening_us) for peer in peers},
+            {peer.node: peer.suspicion_level(now_us, listening_since_us) for peer in peers},
         )
 
     def _is_dead(self, peer: PeerMonitor) -> bool:
-        """Whether it is gone from the state service and the term has been made without it."""
+        """Whether it is absent from the state service and not part of the current term."""
         term = self._leadership.term
         runs = term.runs if term is not None else {}
-        return peer.node not in self._here() and peer.node not in runs
+        return peer.node not in self._present() and peer.node not in runs
 
     def view(self) -> DetectionView:
-        """Who reaches whom, as far as is known here."""
+        """The state of all links, as far as this controller knows."""
         now_us = self._clock.now_us()
         own = ReceivedHeartbeat(self._heartbeats.own_heartbeat(), now_us)
         term = self._leadership.term
@@ -312,26 +320,26 @@
             self._leadership.leader(),
             self._leadership.term_number(),
             self.is_active(),
-            self._stall.stalls,
+            self._stall_monitor.stalls,
             self.fence.freezes,
             tuple(
                 build_peer_view(
-                    peer, now_us, self._stall.listening_since_us, dead=self._is_dead(peer)
+                    peer, now_us, self._stall_monitor.listening_since_us, dead=self._is_dead(peer)
                 )
-                for peer in self._suspicions.values()
+                for peer in self._monitors.values()
             ),
             build_matrix({**self._heartbeats.received, self._node: own}, now_us),
             term.verdicts if term is not None else (),
         )
 
-    # Background work.
+    # Background tasks.
 
     def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.ensure_future(work)
         self._tasks.add(task)
-        task.add_done_callback(self._finished)
+        task.add_done_callback(self._on_task_done)
 
-    def _finished(self, task: asyncio.Task[None]) -> None:
+    def _on_task_done(self, task: asyncio.Task[None]) -> None:
         self._tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
-            log.error("failure detection: background work failed", exc_info=task.exception())
+            log.error("failure detection: a background task failed", exc_info=task.exception())
--- a/mosswalk/detection/fence.py
+++ b/mosswalk/detection/fence.py
@@ -1,4 +1,4 @@
-"""Withholds a controller's authority after it stood still, until the state service confirms it."""
+"""Withholds a controller's authority after a freeze, until the state service confirms it."""
 
 from __future__ import annotations
 
@@ -14,66 +14,70 @@
 
 log = logging.getLogger(__name__)
 
-# The loop's progress is noted this many times a window.
-_NOTES_A_WINDOW = 12
+# How often the event loop's progress is recorded in each window.
+_PROGRESS_UPDATES_PER_WINDOW = 12
 _RETRY_S = 0.2
 
 
 class AuthorityCheck(Protocol):
-    """Who can ask the state service whether this controller still is what it takes itself for."""
+    """Asks the state service whether this controller still has the role that it assumes."""
 
     async def confirm_authority(self) -> None:
-        """Renew the lease and read the term and the leader's key; an error if not served."""
+        """Renew the lease and read the term and the leader's key; raises if that fails."""
 
 
 class AuthorityFence:
-    """Judged right before each act.
+    """Decides right before each action whether this controller may still act.
 
-    Whoever asks first after a freeze finds the loop's last progress too long ago, in whichever
-    order the loop wakes up what was queued. Nobody else can have reached a verdict within the
-    window, so a shorter stall needs no confirmation.
+    After a freeze, the first caller finds that the event loop's last progress is too long ago, in
+    whichever order the loop runs what was queued. A stall shorter than the window needs no
+    confirmation, since no other controller can have reached a verdict within it.
     """
 
     def __init__(self, window_us: int, clock: Clock, check: AuthorityCheck) -> None:
         self._window_us = window_us
         self._clock = clock
         self._check = check
-        self._progress_us = clock.now_us()
+        self._last_progress_at_us = clock.now_us()
         self._withheld = False
-        # The state service refused to confirm: an outage, or this controller alone.
+        # The state service refused to confirm: in an outage, or it refuses only this controller.
         self._refused = False
         self._confirming = asyncio.Lock()
-        self._needed = asyncio.Event()
+        self._confirmation_needed = asyncio.Event()
         self.freezes = 0
 
     @property
     def last_progress_at_us(self) -> int:
-        """When the loop last made progress."""
-        return self._progress_us
+        """When the event loop last made progress."""
+        return self._last_progress_at_us
 
-    def _look(self) -> None:
-        stood_us = self._clock.now_us() - self._progress_us
-        if stood_us <= self._window_us:
+    def _check_for_freeze(self) -> None:
+        stalled_us = self._clock.now_us() - self._last_progress_at_us
+        if stalled_us <= self._window_us:
             return
-        self._progress_us = self._clock.now_us()
+        self._last_progress_at_us = self._clock.now_us()
         self._withheld, self._refused = True, False
         self.freezes += 1
-        log.info("stood still for %.1f s: authority is to be confirmed", stood_us / SECOND_US)
+        log.info(
+            "this process was frozen for %.1f s; its authority has to be confirmed",
+            stalled_us / SECOND_US,
+        )
 
     def may_act(self) -> bool:
-        """Whether this controller may act on what it last knew of its authority."""
-        self._look()
+        """Whether this controller may act on its last known authority."""
+        self._check_for_freeze()
         return not self._withheld
 
     def may_renew_worker_leases(self) -> bool:
-        """Whether a leader may renew workers' leases, within the bound for outages.
+        """Whether a leader may renew workers' leases, within its time limit for outages.
 
-        An outage can't be told apart by waiting: the bound was made for not knowing.
+        It may, too, if the state service refuses to confirm its authority. Waiting would not show
+        whether that is an outage, and the time limit is meant for a leader that does not know.
         """
         return self.may_act() or self._refused
 
     async def confirm(self) -> None:
-        """Return once authority has been judged anew; RefusedError if that can't be done now."""
+        """Return once the authority has been confirmed; RefusedError if that fails now."""
         if self.may_act():
             return
         async with self._confirming:
@@ -91,19 +95,19 @@
                 freezes = self.freezes
 
     async def run(self) -> None:
-        """Note the loop's progress for ever."""
+        """Record the event loop's progress periodically; never returns."""
         while True:
-            await asyncio.sleep(to_s(self._window_us) / _NOTES_A_WINDOW)
-            self._look()
-            self._progress_us = self._clock.now_us()
+            await asyncio.sleep(to_s(self._window_us) / _PROGRESS_UPDATES_PER_WINDOW)
+            self._check_for_freeze()
+            self._last_progress_at_us = self._clock.now_us()
             if self._withheld:
-                self._needed.set()
+                self._confirmation_needed.set()
 
     async def run_confirmations(self) -> None:
-        """Have authority confirmed after each freeze, whether or not anything is to be done."""
+        """Confirm the authority after each freeze, even if nothing is to be done; never returns."""
         while True:
-            await self._needed.wait()
-            self._needed.clear()
+            await self._confirmation_needed.wait()
+            self._confirmation_needed.clear()
             try:
                 await self.confirm()
             except RefusedError as error:
@@ -112,18 +116,23 @@
 
 
 class CommitGate:
-    """Holds commits of a controller that stood still, and drops those of an earlier term."""
+    """Holds back commits after a freeze, and rejects those of an earlier term."""
 
     def __init__(self, fence: AuthorityFence, mirror: Mirror) -> None:
         self._fence = fence
         self._mirror = mirror
 
     async def admit(self, guards: Mapping[str, int], *, sent_before: bool) -> None:
-        """Let a commit pass.
+        """Return when a commit may be sent; ConflictError if its term is outdated.
 
-        One that was sent before may have been carried out: only the state service can tell.
+        A commit that was sent before may have been applied, which only the state service can
+        tell, so it is not rejected here.
         """
         await self._fence.confirm()
-        term = guards.get(records.TERM_KEY)
-        if not sent_before and term is not None and self._mirror.version(records.TERM_KEY) > term:
+        term_revision = guards.get(records.TERM_KEY)
+        if (
+            not sent_before
+            and term_revision is not None
+            and self._mirror.version(records.TERM_KEY) > term_revision
+        ):
             raise ConflictError((records.TERM_KEY,))
--- a/mosswalk/detection/renewer.py
+++ b/mosswalk/detection/renewer.py
@@ -1,4 +1,4 @@
-"""Renews the lease from a thread when the main loop is late, but never for a loop that is dead."""
+"""Renews the lease from a thread while the main event loop is late, but not if it is stuck."""
 
 from __future__ import annotations
 
@@ -14,21 +14,25 @@
 
 log = logging.getLogger(__name__)
 
-# The main loop renews first: the thread only where that is late by this part of its pace.
-_LATE = 1.5
-# Requests of the thread alone; the main loop's are counted by its own client.
-_RPS = 4.0
+# The thread renews only if the last renewal is older than this many renewal intervals, so that the
+# main loop renews first.
+_LATE_FACTOR = 1.5
+# Request rate of this thread's own client; the main loop's client has a separate limit.
+_MAX_RPS = 4.0
 
 
 class LeaseHolder(Protocol):
-    """Whose lease it is. Read and written from the thread: whole attributes only."""
+    """The owner of the lease.
+
+    The thread reads and assigns its attributes without a lock, so each is replaced as a whole.
+    """
 
     lease: int | None
     lease_renewed_at_us: int
 
 
 class ProgressSource(Protocol):
-    """Who knows when the main loop last made progress."""
+    """Records when the main loop last made progress."""
 
     @property
     def last_progress_at_us(self) -> int:
@@ -36,18 +40,23 @@
 
 
 def renewal_due(
-    now_us: int, renewed_us: int, progress_us: int, renew_us: int, progress_limit_us: int
+    now_us: int,
+    renewed_at_us: int,
+    last_progress_at_us: int,
+    renew_interval_us: int,
+    max_progress_age_us: int,
 ) -> bool:
-    """Whether the thread is to renew: the main loop is late, but has shown life of late."""
-    late = now_us - renewed_us > _LATE * renew_us
-    lives = now_us - progress_us <= progress_limit_us
-    return late and lives
+    """Whether the thread is to renew: the main loop is late, but has made progress recently."""
+    late = now_us - renewed_at_us > _LATE_FACTOR * renew_interval_us
+    alive = now_us - last_progress_at_us <= max_progress_age_us
+    return late and alive
 
 
 class LeaseRenewer(threading.Thread):
-    """A loop of its own in a daemon thread.
+    """A daemon thread with its own event loop.
 
-    A dead main loop's lease ends within ``bound_us`` of the loop's last progress.
+    The lease of a main loop that is stuck ends within ``max_lease_after_progress_us`` of the
+    loop's last progress.
     """
 
     def __init__(
@@ -67,57 +76,57 @@
         self._progress = progress
         self._clock = clock
         self._ttl_us = to_us(ttl_s)
-        self._renew_us = to_us(renew_s)
-        self._progress_us = to_us(progress_s)
+        self._renew_interval_us = to_us(renew_s)
+        self._max_progress_age_us = to_us(progress_s)
         self._stopping = threading.Event()
         self.renewals = 0
 
     @property
     def max_lease_after_progress_us(self) -> int:
-        """The longest that a lease outlives the main loop's last progress."""
-        return self._progress_us + self._timeout_us + self._ttl_us
+        """The longest time that the lease can last after the main loop's last progress."""
+        return self._max_progress_age_us + self._request_timeout_us + self._ttl_us
 
     @property
-    def _timeout_us(self) -> int:
+    def _request_timeout_us(self) -> int:
         return self._ttl_us // 2
 
     def stop(self) -> None:
-        """Have the thread end soon."""
+        """Ask the thread to end; it does so at its next check."""
         self._stopping.set()
 
     def run(self) -> None:
-        """The thread's own loop."""
+        """Run the event loop of this thread."""
         with asyncio.Runner() as runner:
             runner.run(self._renew_when_due())
 
     async def _renew_when_due(self) -> None:
         connector = aiohttp.TCPConnector(limit=1)
         async with aiohttp.ClientSession(connector=connector) as session:
-            client = StateClient(session, self._address, _RPS, self._clock)
+            client = StateClient(session, self._address, _MAX_RPS, self._clock)
             while not self._stopping.is_set():
-                await asyncio.sleep(to_s(self._renew_us) / 2)
+                await asyncio.sleep(to_s(self._renew_interval_us) / 2)
                 await self._renew_once(client)
 
     async def _renew_once(self, client: StateClient) -> None:
-        asked_us = self._clock.now_us()
-        lease, renewed_us = self._holder.lease, self._holder.lease_renewed_at_us
+        sent_at_us = self._clock.now_us()
+        lease, renewed_at_us = self._holder.lease, self._holder.lease_renewed_at_us
         due = renewal_due(
-            asked_us,
-            renewed_us,
+            sent_at_us,
+            renewed_at_us,
             self._progress.last_progress_at_us,
-            self._renew_us,
-            self._progress_us,
+            self._renew_interval_us,
+            self._max_progress_age_us,
         )
         if lease is None or not due:
             return
         try:
-            await client.renew(lease, to_s(self._timeout_us))
+            await client.renew(lease, to_s(self._request_timeout_us))
         except NoLeaseError:
-            # The main loop finds out by itself, and takes a new one.
+            # The main loop notices the same and takes a new lease.
             return
         except (RefusedError, UnknownOutcomeError) as error:
-            log.debug("lease not renewed beside the main loop: %s", error)
+            log.debug("the renewer thread could not renew the lease: %s", error)
             return
         self.renewals += 1
         if self._holder.lease == lease:
-            self._holder.lease_renewed_at_us = max(self._holder.lease_renewed_at_us, asked_us)
+            self._holder.lease_renewed_at_us = max(self._holder.lease_renewed_at_us, sent_at_us)
--- a/mosswalk/detection/suspicion.py
+++ b/mosswalk/detection/suspicion.py
@@ -1,4 +1,4 @@
-"""What one controller holds of another: heard or not, suspected or not. No I/O."""
+"""What a controller concludes about another one from contacts and silence. No I/O."""
 
 from __future__ import annotations
 
@@ -9,12 +9,13 @@
 from mosswalk.detection.adaptive_timeout import AdaptiveTimeout
 from mosswalk.wire.peers import LinkState
 
-# A suspicion that comes within this many times ``settle_most_s`` of the last one is a recurrence.
-_RECURS_WITHIN = 2
+# A suspicion that begins within this many times ``settle_most_s`` of the end of the previous one
+# is a recurrence.
+_RECURRENCE_WINDOW_FACTOR = 2
 
 
 class StateChange(Struct, frozen=True):
-    """A change of what is held of a controller."""
+    """A change of the state of the link to a controller."""
 
     node: str
     before: LinkState
@@ -24,10 +25,11 @@
 
 
 class PeerMonitor:
-    """One other controller as this one hears it.
+    """Monitors one other controller through the contacts received from it.
 
-    ``state`` is what is heard now. ``suspected`` outlives it by the damping, so that a link that
-    flaps does not have work given to and kept from its controller in turns.
+    ``state`` describes the link now. ``suspected`` is reset only once the state has been ``alive``
+    for the damping period, so that a flapping link does not alternate between giving its
+    controller work and withholding it.
     """
 
     def __init__(self, node: str, tuning: DetectionTuning, now_us: int) -> None:
@@ -37,75 +39,76 @@
         self.last_heard_at_us = now_us
         self.state: LinkState = "alive"
         self.state_since_us = now_us
-        # Connections to it have been refused since it was last heard.
+        # Whether the latest request failed because the connection was refused; False once it is
+        # heard again.
         self.refused = False
-        # Since when it has been saying that it doesn't hear us.
+        # Since when it has been reporting that it doesn't hear this controller.
         self.not_receiving_since_us: int | None = None
-        # Our own requests to it: when one was last answered, and since when none was.
+        # This controller's requests to it: when one was last answered, and since when none was.
         self.last_answered_at_us = now_us
         self.unanswered_since_us: int | None = None
-        # A third controller has reached it, or told that it hears it.
+        # When a third controller last reached it, or reports having heard it.
         self.heard_by_others_at_us: int | None = None
-        # Third controllers have been asked in this silence, and have answered or not.
+        # Whether probes by third controllers have ended during this silence, with any result.
         self.probed = False
-        # A quorum's verdict has been given in this silence.
+        # Whether a quorum's verdict has been given during this silence.
         self.verdict_given = False
         self.suspected = False
         self.suspected_since_us = now_us
         self.suspicions = 0
         self.false_suspicions = 0
-        self._settle_us = to_us(tuning.settle_s)
-        self._settle_most_us = to_us(tuning.settle_most_s)
+        self._min_damping_us = to_us(tuning.settle_s)
+        self._max_damping_us = to_us(tuning.settle_most_s)
         self._recurrences = 0
-        self._restored_us: int | None = None
-        self._returned_us: int | None = None
+        self._last_suspicion_ended_at_us: int | None = None
+        self._alive_since_us: int | None = None
 
-    def silence_us(self, now_us: int, listening_us: int) -> int:
-        """How long it has not been heard while this process listened."""
-        return now_us - max(self.last_heard_at_us, listening_us)
+    def silence_us(self, now_us: int, listening_since_us: int) -> int:
+        """Time since the last contact, or since this process's last stall if that was later."""
+        return now_us - max(self.last_heard_at_us, listening_since_us)
 
-    def suspicion_level(self, now_us: int, listening_us: int) -> float:
-        """The silence in parts of the patience; suspicion begins at 1."""
-        return self.silence_us(now_us, listening_us) / self.timeout.timeout_us()
+    def suspicion_level(self, now_us: int, listening_since_us: int) -> float:
+        """The ratio of the silence to the timeout; above 1 the peer is probed, then suspected."""
+        return self.silence_us(now_us, listening_since_us) / self.timeout.timeout_us()
 
-    def record_contact(self, run: str, now_us: int, listening_us: int) -> None:
-        """A sign of life has come."""
+    def record_contact(self, run: str, now_us: int, listening_since_us: int) -> None:
+        """Record a contact: a heartbeat, an answer or a new presence record."""
         if run != self.run:
-            self._restarted(run, now_us)
-        elif self.last_heard_at_us >= listening_us:
-            # Else a part of the gap was our own.
+            self._reset_for_run(run, now_us)
+        elif self.last_heard_at_us >= listening_since_us:
+            # Otherwise part of the gap is due to a stall of this process.
             self.timeout.add_gap(now_us - self.last_heard_at_us)
         self.last_heard_at_us = now_us
         self.refused = self.probed = self.verdict_given = False
 
     def record_answer(self, now_us: int) -> None:
-        """It has answered a request of ours."""
+        """Record that it answered a request of this controller."""
         self.last_answered_at_us = now_us
         self.unanswered_since_us = None
 
-    def record_failed_request(self, asked_us: int, *, refused: bool) -> None:
-        """It has not answered a request that was sent at ``asked_us``."""
+    def record_failed_request(self, sent_at_us: int, *, refused: bool) -> None:
+        """Record that it did not answer a request that was sent at ``sent_at_us``."""
         self.refused = refused
         if self.unanswered_since_us is None:
-            self.unanswered_since_us = asked_us
+            self.unanswered_since_us = sent_at_us
 
-    def _hears_us(self, now_us: int, listening_us: int) -> bool:
-        """Whether what we send reaches it, by its own word and by its answers."""
-        patience_us = self.timeout.timeout_us()
+    def _is_receiving(self, now_us: int, listening_since_us: int) -> bool:
+        """Whether this controller's requests reach it, by its own report and by its answers."""
+        timeout_us = self.timeout.timeout_us()
         return all(
-            since_us is None or now_us - max(since_us, listening_us) <= patience_us
+            since_us is None or now_us - max(since_us, listening_since_us) <= timeout_us
             for since_us in (self.not_receiving_since_us, self.unanswered_since_us)
         )
 
-    def record_not_receiving(self, misses: bool, now_us: int) -> None:
-        """It has said whether it misses us."""
-        if not misses:
+    def record_not_receiving(self, not_receiving: bool, now_us: int) -> None:
+        """Record whether it reports that it does not hear this controller."""
+        if not not_receiving:
             self.not_receiving_since_us = None
         elif self.not_receiving_since_us is None:
             self.not_receiving_since_us = now_us
 
-    def _restarted(self, run: str, now_us: int) -> None:
-        """Another run: what was held of the one before says nothing of it."""
+    def _reset_for_run(self, run: str, now_us: int) -> None:
+        """Reset the state for a new run, to which knowledge of the previous one does not apply."""
         self.run = run
         self.state = "alive"
         self.state_since_us = now_us
@@ -113,61 +116,65 @@
         self.not_receiving_since_us = None
         self.unanswered_since_us = None
         self.heard_by_others_at_us = None
-        self._returned_us = None
+        self._alive_since_us = None
 
-    def needs_probe(self, now_us: int, listening_us: int) -> bool:
-        """Whether others are to be asked before anything is concluded from its silence."""
-        return not self.probed and self.suspicion_level(now_us, listening_us) > 1
+    def needs_probe(self, now_us: int, listening_since_us: int) -> bool:
+        """Whether to ask third controllers before anything is concluded from its silence."""
+        return not self.probed and self.suspicion_level(now_us, listening_since_us) > 1
 
-    def update_state(self, now_us: int, listening_us: int) -> StateChange | None:
-        """Decide the state anew; what has changed."""
+    def update_state(self, now_us: int, listening_since_us: int) -> StateChange | None:
+        """Re-evaluate the state and the suspicion; returns the change of state, if any."""
         before = self.state
-        self.state = self._judge(now_us, listening_us)
+        self.state = self._evaluate_state(now_us, listening_since_us)
         if self.state != before:
             self.state_since_us = now_us
-        self._damp(now_us)
+        self._update_suspicion(now_us)
         if self.state == before:
             return None
-        silence_us = self.silence_us(now_us, listening_us)
+        silence_us = self.silence_us(now_us, listening_since_us)
         return StateChange(self.node, before, self.state, silence_us, self.timeout.timeout_us())
 
-    def _judge(self, now_us: int, listening_us: int) -> LinkState:
-        patience_us = self.timeout.timeout_us()
-        if self.silence_us(now_us, listening_us) > patience_us:
+    def _evaluate_state(self, now_us: int, listening_since_us: int) -> LinkState:
+        timeout_us = self.timeout.timeout_us()
+        if self.silence_us(now_us, listening_since_us) > timeout_us:
             if self.state in ("alive", "unhearing") and not self.probed:
                 return self.state
-            elsewhere_us = self.heard_by_others_at_us
-            if elsewhere_us is not None and now_us - elsewhere_us <= patience_us:
+            heard_at_us = self.heard_by_others_at_us
+            if heard_at_us is not None and now_us - heard_at_us <= timeout_us:
                 return "unheard"
             return "silent"
-        if self.state in ("silent", "unheard") and self.last_heard_at_us < listening_us:
-            # We stood still ourselves: it has been neither heard again nor missed for long enough.
+        if self.state in ("silent", "unheard") and self.last_heard_at_us < listening_since_us:
+            # This process stalled: since then the peer has neither been heard nor been silent for
+            # longer than the timeout.
             return self.state
-        return "alive" if self._hears_us(now_us, listening_us) else "unhearing"
+        return "alive" if self._is_receiving(now_us, listening_since_us) else "unhearing"
 
-    def _damp(self, now_us: int) -> None:
+    def _update_suspicion(self, now_us: int) -> None:
         if self.state != "alive":
-            self._returned_us = None
+            self._alive_since_us = None
             if not self.suspected:
                 self._begin_suspicion(now_us)
             return
         if not self.suspected:
             return
-        if self._returned_us is None:
-            self._returned_us = now_us
-        if now_us - self._returned_us >= self.damping_us():
+        if self._alive_since_us is None:
+            self._alive_since_us = now_us
+        if now_us - self._alive_since_us >= self.damping_us():
             self.suspected = False
             self.false_suspicions += 1
-            self._restored_us = now_us
+            self._last_suspicion_ended_at_us = now_us
 
     def _begin_suspicion(self, now_us: int) -> None:
         self.suspected = True
         self.suspected_since_us = now_us
         self.suspicions += 1
-        window_us = _RECURS_WITHIN * self._settle_most_us
-        recurs = self._restored_us is not None and now_us - self._restored_us < window_us
-        self._recurrences = self._recurrences + 1 if recurs else 0
+        window_us = _RECURRENCE_WINDOW_FACTOR * self._max_damping_us
+        is_recurrence = (
+            self._last_suspicion_ended_at_us is not None
+            and now_us - self._last_suspicion_ended_at_us < window_us
+        )
+        self._recurrences = self._recurrences + 1 if is_recurrence else 0
 
     def damping_us(self) -> int:
-        """How long it must be heard without a break before it is suspected no more."""
-        return min(self._settle_most_us, self._settle_us << min(self._recurrences, 16))
+        """How long the state must stay ``alive`` before a suspicion ends; doubles as it recurs."""
+        return min(self._max_damping_us, self._min_damping_us << min(self._recurrences, 16))
--- a/mosswalk/detection/view.py
+++ b/mosswalk/detection/view.py
@@ -1,4 +1,4 @@
-"""What operators are shown of who reaches whom."""
+"""The views that ``mosswalk peers`` shows, sent as JSON, and the counts for the metrics."""
 
 from __future__ import annotations
 
@@ -9,13 +9,14 @@
 
 
 class PeerView(Struct, frozen=True):
-    """One other controller, as the one that was asked has it."""
+    """One other controller, from the point of view of the controller that was queried."""
 
     node: str
     run: str
-    # "dead" once a verdict has been recorded and it has not come back.
+    # A ``LinkState``, or "dead" once the current term excludes it and it has not come back.
     state: str
     suspected: bool
+    # Time since the last change of state.
     state_age_s: float = field(name="since_s")
     reason: str = field(name="why")
     last_heard_age_s: float = field(name="heard_s")
@@ -26,22 +27,23 @@
 
 
 class MatrixCell(Struct, frozen=True):
-    """Whether an observer hears a controller, by the observer's last word."""
+    """The state of one link, as the observer's latest heartbeat reports it."""
 
     observer: str
     node: str
     state: LinkState
     last_heard_age_s: float = field(name="heard_s")
+    # Age of the observer's heartbeat.
     report_age_s: float = field(name="told_s")
 
 
 class DetectionView(Struct, frozen=True):
-    """All that ``mosswalk peers`` shows."""
+    """Everything that ``mosswalk peers`` shows."""
 
     node: str
     leader: str | None
     term: int
-    # Whether the term says that detection is in force.
+    # Whether verdicts may be given: all controllers of the current term take part.
     active: bool = field(name="in_force")
     stalls: int
     freezes: int
@@ -51,14 +53,15 @@
 
 
 class DetectionMetrics(Struct, frozen=True):
-    """Counts for the metrics, since this process began."""
+    """Values for the metrics; the counts begin with this process."""
 
     suspicions: int
     false_suspicions: int
     verdicts: int
-    # From the last sign of life to the last verdict given here.
+    # Of the latest verdict given by this controller: time since the last contact.
     time_to_verdict_s: float
     stalls: int
     freezes: int
-    background_renewals: int
-    suspicion_levels: dict[str, float]
+    # Lease renewals by the renewer thread.
+    background_renewals: int = field(name="renewals_beside")
+    suspicion_levels: dict[str, float] = field(name="levels")
--- a/mosswalk/detection/view_builder.py
+++ b/mosswalk/detection/view_builder.py
@@ -1,4 +1,4 @@
-"""Puts what a controller holds of the others into the form that operators are shown."""
+"""Builds the views of controllers and links that operators are shown."""
 
 from __future__ import annotations
 
@@ -10,8 +10,9 @@
 from mosswalk.detection.view import MatrixCell, PeerView
 from mosswalk.wire.peers import LinkState
 
-_MS_IN_S = 1000
+_MS_PER_S = 1000
 
+# Sent to `mosswalk peers` as ``why``, and logged at each change of state.
 STATE_DESCRIPTIONS: dict[LinkState, str] = {
     "alive": "heard",
     "silent": "not heard here, nor by those who were asked",
@@ -20,8 +21,10 @@
 }
 
 
-def build_peer_view(peer: PeerMonitor, now_us: int, listening_us: int, *, dead: bool) -> PeerView:
-    """One other controller."""
+def build_peer_view(
+    peer: PeerMonitor, now_us: int, listening_since_us: int, *, dead: bool
+) -> PeerView:
+    """The view of one other controller; ``dead`` replaces the state of its link."""
     return PeerView(
         peer.node,
         peer.run,
@@ -31,22 +34,22 @@
         STATE_DESCRIPTIONS[peer.state],
         to_s(now_us - peer.last_heard_at_us),
         to_s(peer.timeout.timeout_us()),
-        peer.suspicion_level(now_us, listening_us),
+        peer.suspicion_level(now_us, listening_since_us),
         peer.suspicions,
         peer.false_suspicions,
     )
 
 
 def build_matrix(received: Mapping[str, ReceivedHeartbeat], now_us: int) -> tuple[MatrixCell, ...]:
-    """Who hears whom, by each observer's last word."""
+    """One cell for each observer and controller, from each observer's latest heartbeat."""
     return tuple(
         MatrixCell(
             observer,
             row.node,
             row.state,
-            row.heard_ms / _MS_IN_S,
-            to_s(now_us - last.received_at_us),
+            row.heard_ms / _MS_PER_S,
+            to_s(now_us - latest.received_at_us),
         )
-        for observer, last in sorted(received.items())
-        for row in last.heartbeat.rows
+        for observer, latest in sorted(received.items())
+        for row in latest.heartbeat.rows
     )
--- a/tests/test_detection_cluster.py
+++ b/tests/test_detection_cluster.py
@@ -69,7 +69,7 @@
 
 
 def state(region, observer, node):
-    return controller(region, observer).detector._suspicions[node]
+    return controller(region, observer).detector._monitors[node]
 
 
 async def held(region, pairs, for_s):
@@ -478,7 +478,7 @@
         region.kill_controller(gone)
         await region.wait_until(lambda: region.leader() is not None, 20.0)
         rest = [c for c, _ in region.controllers.values() if c.detector is not None]
-        assert rest and all(c.detector._suspicions[gone].suspected for c in rest)
+        assert rest and all(c.detector._monitors[gone].suspected for c in rest)
         assert not any(c.detector.metrics().verdicts for c in rest)
 
     run_in_virtual_time(day())
@@ -493,7 +493,7 @@
         now_us = detector._clock.now_us()
         word = ReceivedHeartbeat(Heartbeat(third, "run", False, (row,)), now_us)
         detector._heartbeats.received[third] = word
-        detector._judge_one(peer, now_us + 10_000_000, 0)
+        detector._evaluate_peer(peer, now_us + 10_000_000, 0)
         await asyncio.sleep(1.0)
         assert not detector.metrics().verdicts and not history(region).verdicts()
 
