--- a/mosswalk/peers/__init__.py
+++ b/mosswalk/peers/__init__.py
@@ -1,4 +1,4 @@
-"""Controllers' talk to each other: MessagePack over HTTP on their own port."""
+"""Communication between controllers: MessagePack over HTTP on a separate port."""
 
 from __future__ import annotations
 
@@ -28,13 +28,13 @@
 
 T = TypeVar("T")
 
-# An offer names each machine with room once a team, some 300 bytes each: 4,000 machines with room
-# for five teams are 6 MB. Only other controllers speak to this port.
+# An offer lists each machine with free capacity once for each team, in about 300 bytes: 4,000
+# machines offered to five teams take 6 MB. Only other controllers connect to this port.
 MAX_MESSAGE_BYTES = 64 * 1024 * 1024
 
 
 class PeerClient:
-    """Speaks to the other controllers by name."""
+    """Sends requests to the other controllers, which are addressed by name."""
 
     def __init__(self, session: aiohttp.ClientSession, settings: Settings) -> None:
         self._session = session
@@ -57,10 +57,10 @@
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
             raise PeerError(str(error) or type(error).__name__) from None
         if response.status != 200:
-            raise PeerError(f"status {response.status}")
+            raise PeerError(f"unexpected HTTP status {response.status}")
         return body
 
-    async def _ask(
+    async def _request(
         self, node: str, path: str, message: object, timeout_s: float, kind: type[T]
     ) -> T:
         body = await self._post(node, path, message, timeout_s)
@@ -71,31 +71,31 @@
             raise PeerError("malformed answer") from None
 
     async def offer(self, node: str, message: Offer) -> OfferAnswer:
-        """Offer room to the owner of some teams."""
-        return await self._ask(node, "/offer", message, 5.0, OfferAnswer)
+        """Offer free capacity to the owner of some teams."""
+        return await self._request(node, "/offer", message, 5.0, OfferAnswer)
 
     async def peer_status(self, node: str) -> PeerStatus:
-        """What another controller sees of the state service and of the workers."""
-        return await self._ask(node, "/sight", None, 1.0, PeerStatus)
+        """Ask another controller how it sees the state service and the workers."""
+        return await self._request(node, "/sight", None, 1.0, PeerStatus)
 
     async def exchange(self, node: str, heartbeat: Heartbeat) -> PeerStatus:
-        """The same, with heartbeats; one without failure detection does not send its own."""
-        return await self._ask(node, "/sight", heartbeat, 1.0, PeerStatus)
+        """Ask for the same status, and exchange heartbeats if failure detection is on there too."""
+        return await self._request(node, "/sight", heartbeat, 1.0, PeerStatus)
 
     async def probe(self, node: str, subject: str) -> ProbeAnswer:
-        """Have a controller try to reach a third one."""
-        return await self._ask(node, "/probe", subject, 1.5, ProbeAnswer)
+        """Ask a controller to try to reach a third one."""
+        return await self._request(node, "/probe", subject, 1.5, ProbeAnswer)
 
     async def poll(self, node: str, job_id: str) -> PollAnswer:
-        """Have another controller ask the state service about a job."""
-        return await self._ask(node, "/poll", job_id, 1.2, PollAnswer)
+        """Ask another controller to read a job's state from the state service."""
+        return await self._request(node, "/poll", job_id, 1.2, PollAnswer)
 
     async def outcomes(self, node: str, message: Outcomes) -> None:
-        """Tell the owner what became of attempts."""
+        """Send the outcomes of attempts to the owner of their teams."""
         await self._post(node, "/outcomes", message, 2.0)
 
     async def withdrawn(self, node: str, message: Withdrawals) -> None:
-        """Tell another controller of withdrawals before its watch does."""
+        """Send withdrawals to another controller before its watch delivers them."""
         await self._post(node, "/withdrawn", message, 1.0)
 
 
@@ -107,9 +107,9 @@
     on_withdrawn: Callable[[Withdrawals], None],
     on_probe: Callable[[str], Awaitable[ProbeAnswer]] | None = None,
 ) -> web.Application:
-    """The port that other controllers speak to."""
+    """The web application for the port that other controllers connect to."""
 
-    async def decoded(request: web.Request, kind: type[T]) -> T:
+    async def decode_body(request: web.Request, kind: type[T]) -> T:
         try:
             return msgspec.msgpack.decode(await request.read(), type=kind)
         except msgspec.DecodeError as error:
@@ -118,7 +118,7 @@
             raise web.HTTPBadRequest from None
 
     async def offer(request: web.Request) -> web.Response:
-        message = await decoded(request, Offer)
+        message = await decode_body(request, Offer)
         try:
             async with asyncio.timeout(6.0):
                 answer = await on_offer(message)
@@ -127,27 +127,29 @@
         return web.Response(body=msgspec.msgpack.encode(answer))
 
     async def outcomes(request: web.Request) -> web.Response:
-        on_outcomes(await decoded(request, Outcomes))
+        on_outcomes(await decode_body(request, Outcomes))
         return web.Response()
 
     async def withdrawn(request: web.Request) -> web.Response:
-        on_withdrawn(await decoded(request, Withdrawals))
+        on_withdrawn(await decode_body(request, Withdrawals))
         return web.Response()
 
     async def status(request: web.Request) -> web.Response:
-        # Without failure detection the body is nil.
-        heartbeat: Heartbeat | None = await decoded(request, Heartbeat | None)  # type: ignore[arg-type]
+        # A sender without failure detection sends nil.
+        heartbeat: Heartbeat | None = await decode_body(request, Heartbeat | None)  # type: ignore[arg-type]
         return web.Response(body=msgspec.msgpack.encode(on_status(heartbeat)))
 
     async def probe(request: web.Request) -> web.Response:
         if on_probe is None:
             raise web.HTTPNotFound
         return web.Response(
-            body=msgspec.msgpack.encode(await on_probe(await decoded(request, str)))
+            body=msgspec.msgpack.encode(await on_probe(await decode_body(request, str)))
         )
 
     async def poll(request: web.Request) -> web.Response:
-        return web.Response(body=msgspec.msgpack.encode(await on_poll(await decoded(request, str))))
+        return web.Response(
+            body=msgspec.msgpack.encode(await on_poll(await decode_body(request, str)))
+        )
 
     app = web.Application(client_max_size=MAX_MESSAGE_BYTES)
     app.router.add_post("/offer", offer)
--- a/mosswalk/peers/errors.py
+++ b/mosswalk/peers/errors.py
@@ -1,11 +1,11 @@
-"""What can go wrong between controllers."""
+"""Errors of requests between controllers."""
 
 from __future__ import annotations
 
 
 class PeerError(Exception):
-    """No usable answer; nothing follows from it about the other controller."""
+    """A request got no usable answer; this does not show whether the other controller is up."""
 
 
 class PeerRefusedError(PeerError):
-    """The connection was refused: no process listens, a filter is between, or sockets are short."""
+    """The connection was refused: no process listens, a filter blocks it, or sockets ran out."""
--- a/mosswalk/peers/health.py
+++ b/mosswalk/peers/health.py
@@ -1,10 +1,11 @@
-"""Whether users' requests can be taken here, or only elsewhere.
-
-A controller can't tell an outage of the state service from being refused alone. In an outage all
-should stay in the balancer's list and say so at once; one that is refused alone should leave it,
-since its users would be told 503 while others are served. So it asks the others. A leader asks
-them too, to know which of them it can't reach, and whether workers turn to them that should come
-to it.
+"""Decides whether this controller can serve users' requests, by comparison with the others.
+
+On its own, a controller can't distinguish an outage of the state service from being the only one
+that the service refuses. In an outage, all controllers should stay in the load balancer's list and
+report the outage at once. One that is refused alone should leave the list, since its users would
+get 503 while other controllers are served. So it asks the other controllers. A leader asks them
+too, to know which of them it can't reach, and whether workers that should report to it turn to
+them instead.
 """
 
 from __future__ import annotations
@@ -19,21 +20,22 @@
 
 log = logging.getLogger(__name__)
 
-# A watch that brings nothing lasts 2 s and confirms what was so when it began: until the next one
-# ends, that is up to 4.2 s ago. Seen on a calm minute: all followers took themselves for refused.
+# A watch without events lasts 2 s and confirms the state as of its beginning. Before the next one
+# ends, that is up to 4.2 s ago. With a lower limit, all followers took themselves for refused in a
+# minute without changes.
 MAX_CONFIRMATION_AGE_US = 5_500_000
-_ASK_S = 1.0
+_CHECK_INTERVAL_S = 1.0
 
 
 class PeerStatusClient(Protocol):
-    """How others are asked."""
+    """Requests the status of other controllers."""
 
     async def peer_status(self, node: str) -> PeerStatus:
-        """What another controller sees of the state service and of the workers."""
+        """Ask another controller how it sees the state service and the workers."""
 
 
 class Health:
-    """Watches this controller's sight of the state service, and asks others when it is lost."""
+    """Watches whether the state service serves this controller; if not, asks the others."""
 
     def __init__(
         self,
@@ -43,7 +45,7 @@
         clock: Clock,
         leads: Callable[[], bool] = lambda: False,
         on_unreachable: Callable[[frozenset[str]], None] = lambda _: None,
-        on_visitors: Callable[[int], None] = lambda _: None,
+        on_stray_workers: Callable[[int], None] = lambda _: None,
     ) -> None:
         self._others = tuple(others)
         self._peers = peers
@@ -51,11 +53,13 @@
         self._clock = clock
         self._leads = leads
         self._on_unreachable = on_unreachable
-        self._on_visitors = on_visitors
-        # Who did not answer when this controller, not served, last asked; None while it is served.
+        self._on_stray_workers = on_stray_workers
+        # Controllers that did not answer the last time that this one asked while it was not
+        # served; None while it is served.
         self.unreachable_peers: frozenset[str] | None = None
-        # Tries in a row that failed, by controller.
-        self._failed: dict[str, int] = dict.fromkeys(self._others, 0)
+        # Consecutive failed requests, by controller.
+        self._consecutive_failures: dict[str, int] = dict.fromkeys(self._others, 0)
+        # Whether this controller is not served while others are, or may be.
         self.isolated = False
         # A controller that the state service serves while it does not serve this one.
         self.served_peer: str | None = None
@@ -65,10 +69,10 @@
         return self._clock.now_us() - self._confirmed_us() < MAX_CONFIRMATION_AGE_US
 
     def cannot_reach_leader(self, leader: str | None) -> bool:
-        """Whether no leader can be reached from here, nor anybody who could name one.
+        """Whether neither the leader nor a controller that could name a new one can be reached.
 
-        So it is in a zone that is cut off, or where the leader died in an outage of the state
-        service.
+        This is the case in a zone that is cut off, and where the leader died during an outage of
+        the state service.
         """
         if self.unreachable_peers is None or not self.state_service_unavailable():
             return False
@@ -78,31 +82,35 @@
         """Whether the state service serves neither this controller nor any that it can reach."""
         return self.unreachable_peers is not None and self.served_peer is None
 
-    async def _ask(self, node: str) -> PeerStatus | None:
+    async def _request_status(self, node: str) -> PeerStatus | None:
         try:
             return await self._peers.peer_status(node)
         except Exception as error:
-            log.debug("controller %s not asked: %s", node, error)
+            log.debug("controller %s: status request failed: %s", node, error)
             return None
 
     async def update(self) -> None:
-        """Decide anew."""
-        fresh = self.is_served()
-        if fresh and self.isolated:
-            log.info("served by the state service again")
-        if fresh:
+        """Re-evaluate the health, and ask the other controllers if needed."""
+        served = self.is_served()
+        if served and self.isolated:
+            log.info("the state service serves this controller again")
+        if served:
             self.isolated, self.served_peer, self.unreachable_peers = False, None, None
-        if not self._others or (fresh and not self._leads()):
-            # What was seen long ago must not pass anybody over when this controller leads again.
-            self._failed = dict.fromkeys(self._others, 0)
+        if not self._others or (served and not self._leads()):
+            # Old failures must not exclude a controller when this one leads again.
+            self._consecutive_failures = dict.fromkeys(self._others, 0)
             self._on_unreachable(frozenset())
             return
-        answers = await asyncio.gather(*(self._ask(node) for node in self._others))
+        answers = await asyncio.gather(*(self._request_status(node) for node in self._others))
         for node, answer in zip(self._others, answers, strict=True):
-            self._failed[node] = self._failed[node] + 1 if answer is None else 0
-        self._on_unreachable(frozenset(n for n, times in self._failed.items() if times >= 2))
-        if fresh:
-            self._on_visitors(sum(peer.stray_workers for peer in answers if peer is not None))
+            self._consecutive_failures[node] = (
+                self._consecutive_failures[node] + 1 if answer is None else 0
+            )
+        self._on_unreachable(
+            frozenset(n for n, times in self._consecutive_failures.items() if times >= 2)
+        )
+        if served:
+            self._on_stray_workers(sum(peer.stray_workers for peer in answers if peer is not None))
             return
         self.served_peer = next(
             (
@@ -115,16 +123,18 @@
         self.unreachable_peers = frozenset(
             n for n, a in zip(self._others, answers, strict=True) if a is None
         )
-        # With nobody to ask either, this controller is cut off from all: others may serve.
-        alone = self.served_peer is not None or all(answer is None for answer in answers)
-        if alone and not self.isolated:
+        # If no other controller answers, this one is cut off from all of them, and they may be
+        # served.
+        isolated = self.served_peer is not None or all(answer is None for answer in answers)
+        if isolated and not self.isolated:
             log.info(
-                "not served by the state service, others are: %s", self.served_peer or "not known"
+                "the state service does not serve this controller; one that it serves: %s",
+                self.served_peer or "none known",
             )
-        self.isolated = alone
+        self.isolated = isolated
 
     async def run(self) -> None:
-        """Look for ever."""
+        """Check periodically; never returns."""
         while True:
-            await asyncio.sleep(_ASK_S)
+            await asyncio.sleep(_CHECK_INTERVAL_S)
             await self.update()
--- a/mosswalk/peers/withdrawal_broadcast.py
+++ b/mosswalk/peers/withdrawal_broadcast.py
@@ -1,9 +1,9 @@
-"""Tells the other controllers of withdrawals at once.
+"""Sends withdrawals to the other controllers at once.
 
-The leader learns of them by its watch too, but not while the state service refuses it alone, and
-in an outage that follows not for as long as that lasts. Nothing rests on this: whoever is not
-reached stops renewing leases in time all the same. But the tasks end seconds after the withdrawal,
-and so do those on a machine that hangs when its lease should end.
+The leader learns of them through its watch too, but not while the state service refuses only the
+leader, nor during an outage that follows the withdrawal. Correctness does not depend on this
+broadcast: a leader that is not reached still stops renewing leases in time. With it, the tasks end
+seconds after the withdrawal, also those on a machine that hangs when its lease should end.
 """
 
 from __future__ import annotations
@@ -20,71 +20,74 @@
 
 log = logging.getLogger(__name__)
 
-_PAUSE_S = 0.5
-# A record takes up to value_kb, and a message may have 4 MiB.
-_MOST_IN_MESSAGE = 32
+_RETRY_PAUSE_S = 0.5
+# A record takes up to value_kb, and a message should stay below 4 MiB.
+_MAX_PER_MESSAGE = 32
 
 
 class WithdrawalClient(Protocol):
-    """How the others are told."""
+    """Sends withdrawals to other controllers."""
 
     async def withdrawn(self, node: str, message: Withdrawals) -> None:
-        """Tell of withdrawals; an error if that is not acknowledged."""
+        """Send withdrawals; raises if they are not acknowledged."""
 
 
 class WithdrawalBroadcast:
-    """What each of the others has not acknowledged yet."""
+    """Queues withdrawals for each other controller until it has acknowledged them."""
 
     def __init__(
         self,
         others: Iterable[str],
         peers: WithdrawalClient,
-        keep_us: int,
+        retention_us: int,
         clock: Clock,
         rng: random.Random,
     ) -> None:
         self._peers = peers
-        # After this long it is of no use to anybody. That bounds what waits, too: each withdrawal
-        # has taken a write of the state service.
-        self._keep_us = keep_us
+        # After this time a withdrawal is dropped, since its tasks must have ended. This also
+        # bounds the queues, because each withdrawal takes a write, and their rate is limited.
+        self._retention_us = retention_us
         self._clock = clock
         self._rng = rng
-        self._waiting: dict[str, OrderedDict[str, tuple[int, Withdrawal]]] = {
+        self._pending: dict[str, OrderedDict[str, tuple[int, Withdrawal]]] = {
             node: OrderedDict() for node in others
         }
-        self._wake = {node: asyncio.Event() for node in self._waiting}
+        self._wake = {node: asyncio.Event() for node in self._pending}
 
     def enqueue(self, withdrawal: Withdrawal) -> None:
-        """Tell all others soon."""
+        """Queue a withdrawal for all other controllers."""
         now_us = self._clock.now_us()
-        for node, waiting in self._waiting.items():
-            waiting[withdrawal.job] = (now_us + self._keep_us, withdrawal)
+        for node, pending in self._pending.items():
+            pending[withdrawal.job] = (now_us + self._retention_us, withdrawal)
             self._wake[node].set()
 
     async def run(self) -> None:
-        """Tell for ever; one that does not answer keeps nobody else waiting."""
+        """Send to each controller in a task of its own; never returns.
+
+        A controller that does not answer does not delay the others.
+        """
         async with asyncio.TaskGroup() as group:
-            for node in self._waiting:
-                group.create_task(self._run(node))
+            for node in self._pending:
+                group.create_task(self._send_to(node))
 
-    async def _run(self, node: str) -> None:
+    async def _send_to(self, node: str) -> None:
         while True:
             await self._wake[node].wait()
             self._wake[node].clear()
-            while batch := self._due(node):
+            while batch := self._next_batch(node):
                 try:
                     await self._peers.withdrawn(node, Withdrawals(batch))
                 except Exception as error:
-                    log.debug("withdrawals to %s: %s", node, error)
-                    await asyncio.sleep(_PAUSE_S * self._rng.uniform(0.7, 1.3))
+                    log.debug("withdrawals not sent to %s: %s", node, error)
+                    await asyncio.sleep(_RETRY_PAUSE_S * self._rng.uniform(0.7, 1.3))
                     continue
                 for withdrawal in batch:
-                    self._waiting[node].pop(withdrawal.job, None)
+                    self._pending[node].pop(withdrawal.job, None)
 
-    def _due(self, node: str) -> tuple[Withdrawal, ...]:
+    def _next_batch(self, node: str) -> tuple[Withdrawal, ...]:
         now_us = self._clock.now_us()
-        waiting = self._waiting[node]
-        for job_id in [j for j, (until_us, _) in waiting.items() if until_us < now_us]:
-            del waiting[job_id]
-        # The newest first: the oldest are the likeliest to be known by now.
-        return tuple(w for _, w in list(waiting.values())[-_MOST_IN_MESSAGE:])
+        pending = self._pending[node]
+        for job_id in [j for j, (expires_at_us, _) in pending.items() if expires_at_us < now_us]:
+            del pending[job_id]
+        # The newest ones are sent first: the older ones are more likely to be known by now.
+        return tuple(w for _, w in list(pending.values())[-_MAX_PER_MESSAGE:])
