--- a/mosswalk/config/__init__.py
+++ b/mosswalk/config/__init__.py
@@ -1,7 +1,7 @@
-"""Settings: the platform's TOML and, beyond it, the operators' own HCL.
+"""Settings: the platform's TOML file and, optionally, the operators' own HCL file.
 
-Unknown fields are ignored in both, since new ones may come. Whatever is wrong is told in one
-line that names the file and the field.
+Unknown fields are ignored in both, since later versions may add some. Only the ``detection`` block
+rejects them. Each error is reported in one line that names the file and the field.
 """
 
 from __future__ import annotations
@@ -18,16 +18,17 @@
 
 __all__ = ["Settings", "SettingsError", "Tuning", "load"]
 
-# Operators name their file here, or put it beside the platform's with this suffix.
+# The operators' file is named by this environment variable; otherwise it is the platform's path
+# with this suffix, if that exists.
 OPERATOR_FILE_VARIABLE = "MOSSWALK_HCL"
 OPERATOR_SUFFIX = ".hcl"
 
-# A job's end takes two writes.
-_LEAST_TXN_OPS = 2
+# Ending a job takes two writes in one transaction.
+_MIN_TXN_OPS = 2
 
 
 class SettingsError(Exception):
-    """The settings can't be used; the text names the file and the field."""
+    """The settings are invalid; the message names the file and the field."""
 
 
 class Peer(Struct, frozen=True):
@@ -39,14 +40,14 @@
 
 
 class ServiceAddresses(Struct, frozen=True):
-    """The addresses of the services mosswalk uses."""
+    """Addresses of the services that mosswalk uses."""
 
     cloud: str
     state: str
 
 
 class Team(Struct, frozen=True):
-    """A team's guarantee and limit; a limit of 0 is none."""
+    """A team's guaranteed and maximum resources; a maximum of 0 means no limit."""
 
     name: str
     cpus: float = 0.0
@@ -56,7 +57,7 @@
 
 
 class Objective(Struct, frozen=True):
-    """An aim of the users, by job class."""
+    """A service level objective, optionally for one job class only."""
 
     kind: str
     job_class: str | None = msgspec.field(name="class", default=None)
@@ -65,18 +66,19 @@
 
 
 class WorkerLimits(Struct, frozen=True):
-    """How workers report."""
+    """Intervals and time limits of workers."""
 
     report_s: float
     lease_s: float
     cancel_s: float
-    # How long a gang's task waits for the others, and how soon it notices that one is gone.
+    # How long a task of a gang waits for the others to start, and how soon it notices that one of
+    # them is gone.
     gang_wait_s: float = 60.0
     gang_peer_s: float = 5.0
 
 
 class NextStateLimits(Struct, frozen=True):
-    """Limits that the state service will have from an unannounced moment on; None: unchanged."""
+    """Limits that the state service adopts at an unannounced time; None means unchanged."""
 
     rps: float | None = None
     write_rps: float | None = None
@@ -85,7 +87,7 @@
 
 
 class StateLimits(Struct, frozen=True):
-    """What the state service takes."""
+    """Request, write and size limits of the state service."""
 
     rps: float
     write_rps: float
@@ -94,7 +96,7 @@
     next: NextStateLimits | None = None
 
     def lowest(self) -> StateLimits:
-        """The limits that hold whether or not the next ones are in force already."""
+        """The limits to keep to, whether or not the next ones apply already."""
         if self.next is None:
             return self
         lowered = {
@@ -106,14 +108,14 @@
 
 
 class CloudLimits(Struct, frozen=True):
-    """What the cloud takes."""
+    """The cloud's request limit, and how far its list of machines may lag behind."""
 
     rps: float
     list_lag_s: float
 
 
 class MachineLimits(Struct, frozen=True):
-    """What this process may use."""
+    """Resources that this process may use."""
 
     core_share: float = 1.0
     mem_mb: float = 512.0
@@ -121,7 +123,7 @@
 
 
 class Params(Struct, frozen=True):
-    """The deployment's parameters."""
+    """Parameters of the deployment."""
 
     zones: tuple[str, ...]
     workers: WorkerLimits
@@ -134,7 +136,7 @@
 
 
 class Settings(Struct, frozen=True):
-    """Everything the platform hands over, and the operators' tuning."""
+    """The settings that the platform provides, and the operators' tuning."""
 
     host_name: str
     zone: str
@@ -147,17 +149,17 @@
 
 
 def split_address(text: str) -> tuple[str, int]:
-    """``host:port`` as a pair; ValueError if it isn't one."""
+    """Split ``host:port`` into host and port; ValueError if the text has another form."""
     host, colon, port = text.rpartition(":")
     if not colon or not host or not port.isdigit() or not 0 < int(port) < 65536:
-        raise ValueError(f"{text!r} is not host:port")
+        raise ValueError(f"{text!r} is not of the form host:port")
     return host, int(port)
 
 
-def _positive(path: Path, where: str, **amounts: float) -> None:
-    for name, amount in amounts.items():
-        if not amount > 0:
-            raise SettingsError(f"{path}: {where}.{name}: must be above 0")
+def _require_positive(path: Path, section: str, **values: float) -> None:
+    for name, value in values.items():
+        if not value > 0:
+            raise SettingsError(f"{path}: {section}.{name}: must be above 0")
 
 
 def _check(path: Path, settings: Settings) -> None:
@@ -175,14 +177,14 @@
             raise SettingsError(f"{path}: {name}: {error}") from None
     params = settings.params
     workers, state = params.workers, params.state
-    _positive(
+    _require_positive(
         path,
         "params.workers",
         report_s=workers.report_s,
         lease_s=workers.lease_s,
         cancel_s=workers.cancel_s,
     )
-    _positive(
+    _require_positive(
         path,
         "params.state",
         rps=state.rps,
@@ -190,18 +192,18 @@
         value_kb=state.value_kb,
         txn_ops=state.txn_ops,
     )
-    _positive(path, "params.cloud", rps=params.cloud.rps)
-    if state.txn_ops < _LEAST_TXN_OPS:
-        raise SettingsError(f"{path}: params.state.txn_ops: must be at least {_LEAST_TXN_OPS}")
+    _require_positive(path, "params.cloud", rps=params.cloud.rps)
+    if state.txn_ops < _MIN_TXN_OPS:
+        raise SettingsError(f"{path}: params.state.txn_ops: must be at least {_MIN_TXN_OPS}")
     if workers.cancel_s <= workers.lease_s:
-        # A withdrawn task in a cut zone can only be relied on to die by its lease.
+        # In a zone that is cut off, a withdrawn task is only certain to end when its lease expires.
         raise SettingsError(f"{path}: params.workers.cancel_s: must be above lease_s")
     names = [team.name for team in params.teams]
     if len(set(names)) != len(names):
-        raise SettingsError(f"{path}: params.teams: a name stands twice")
+        raise SettingsError(f"{path}: params.teams: duplicate name")
     hosts = [settings.host_name, *(peer.host_name for peer in settings.known)]
     if len(set(hosts)) != len(hosts):
-        raise SettingsError(f"{path}: known: a host_name stands twice")
+        raise SettingsError(f"{path}: known: duplicate host_name")
 
 
 def _read(path: Path) -> str:
@@ -213,23 +215,23 @@
         raise SettingsError(f"{path}: not UTF-8: {error.reason}") from None
 
 
-def _operator_path(path: Path) -> Path | None:
-    named = os.environ.get(OPERATOR_FILE_VARIABLE)
-    if named:
-        return Path(named)
-    beside = path.with_suffix(OPERATOR_SUFFIX)
-    return beside if beside.exists() else None
+def _find_operator_file(path: Path) -> Path | None:
+    configured = os.environ.get(OPERATOR_FILE_VARIABLE)
+    if configured:
+        return Path(configured)
+    default_path = path.with_suffix(OPERATOR_SUFFIX)
+    return default_path if default_path.exists() else None
 
 
-def _with_lowest_limits(settings: Settings) -> Settings:
-    """Settings that keep to the state service's limits of now and of later, whichever is lower."""
+def _with_lowest_state_limits(settings: Settings) -> Settings:
+    """Replace each limit of the state service by the lower of its current and next value."""
     state = settings.params.state.lowest()
     params = msgspec.structs.replace(settings.params, state=state)
     return msgspec.structs.replace(settings, params=params)
 
 
 def load(path: Path, operator_path: Path | None = None) -> Settings:
-    """Read and check the settings; SettingsError names what is wrong."""
+    """Read and check the settings; SettingsError names the file and the field."""
     try:
         raw: dict[str, Any] = tomllib.loads(_read(path))
     except tomllib.TOMLDecodeError as error:
@@ -240,9 +242,9 @@
     except msgspec.ValidationError as error:
         raise SettingsError(f"{path}: {error}") from None
     _check(path, settings)
-    settings = _with_lowest_limits(settings)
+    settings = _with_lowest_state_limits(settings)
     _check(path, settings)
-    operator_path = operator_path or _operator_path(path)
+    operator_path = operator_path or _find_operator_file(path)
     if operator_path is not None:
         try:
             tuning = load_tuning(_read(operator_path))
--- a/mosswalk/config/detection.py
+++ b/mosswalk/config/detection.py
@@ -8,41 +8,42 @@
 import msgspec
 from msgspec import Struct
 
-# Heartbeats closer than this would take more of a small machine than they tell.
-_LEAST_HEARTBEAT_S = 0.05
+# More frequent heartbeats would load a small machine without giving more information.
+_MIN_HEARTBEAT_S = 0.05
 
 
 class DetectionTuning(Struct, frozen=True, forbid_unknown_fields=True):
-    """When a controller is suspected, and when a verdict follows."""
+    """When a controller is suspected, and when a verdict on it is given."""
 
     heartbeat_s: float = 0.5
-    # A link's patience is ``margin`` times this quantile of its gaps, between floor and ceiling.
+    # The timeout of a link is ``margin`` times this quantile of the gaps between its contacts, but
+    # at least ``floor_s`` and at most ``ceiling_s``.
     quantile: float = 0.99
     margin: float = 2.5
     floor_s: float = 1.2
     ceiling_s: float = 2.0
-    # How many others are asked to reach a controller before it is suspected.
+    # How many other controllers are asked to reach a controller before it is suspected.
     probes: int = 2
-    # How long a quorum must agree: when all are refused connections, and when all hear nothing.
+    # How long a controller must have been in the state ``silent`` before a quorum's verdict: if the
+    # connections of the whole quorum are refused, and otherwise.
     refused_s: float = 0.6
     silent_s: float = 3.0
-    # How long a suspicion that has ended is kept; doubled while it recurs.
+    # How long a suspicion lasts after the link has recovered, doubled with each recurrence up to
+    # ``settle_most_s``.
     settle_s: float = 2.0
     settle_most_s: float = 30.0
-    # The lease is renewed beside the main loop only if that made progress within this time.
+    # The renewer thread renews the lease only if the main loop made progress within this time.
     progress_s: float = 1.5
 
 
-def _require(holds: bool, name: str, allowed: str) -> None:
-    if not holds:
+def _require(condition: bool, name: str, allowed: str) -> None:
+    if not condition:
         raise ValueError(f"detection.{name}: must be {allowed}")
 
 
 def _check(tuning: DetectionTuning, ttl_s: float) -> None:
-    """Windows must be in order, and suspicion and verdict must fit the lease."""
-    _require(
-        tuning.heartbeat_s >= _LEAST_HEARTBEAT_S, "heartbeat_s", f"at least {_LEAST_HEARTBEAT_S}"
-    )
+    """Check that the time limits are in order, and that a verdict precedes the lease's end."""
+    _require(tuning.heartbeat_s >= _MIN_HEARTBEAT_S, "heartbeat_s", f"at least {_MIN_HEARTBEAT_S}")
     _require(0.5 <= tuning.quantile < 1, "quantile", "at least 0.5 and below 1")
     _require(tuning.margin >= 1, "margin", "at least 1")
     _require(
@@ -66,7 +67,7 @@
         tuning.ceiling_s + tuning.silent_s <= ttl_s,
         "silent_s",
         f"at most leadership.ttl_s less ceiling_s ({ttl_s - tuning.ceiling_s:g}):"
-        " a later verdict than the lease's own end is none",
+        " a verdict has no effect after the lease has expired",
     )
     _require(tuning.settle_s > 0, "settle_s", "above 0")
     _require(
@@ -82,11 +83,11 @@
 
 
 def load_detection(block: Mapping[str, Any], ttl_s: float) -> DetectionTuning:
-    """The settings of a ``detection`` block; ValueError names the setting and what is allowed."""
+    """Read a ``detection`` block; ValueError names the setting and what is allowed."""
     known = DetectionTuning.__struct_fields__
     for name in block:
         if name not in known:
-            raise ValueError(f"detection.{name}: unknown; allowed are {', '.join(known)}")
+            raise ValueError(f"detection.{name}: unknown setting; allowed are {', '.join(known)}")
     try:
         tuning = msgspec.convert(dict(block), DetectionTuning)
     except msgspec.ValidationError as error:
--- a/mosswalk/config/operator.py
+++ b/mosswalk/config/operator.py
@@ -1,4 +1,6 @@
-"""The operators' own settings, in HCL: what the design leaves open and how teams share.
+"""The operators' own settings, in HCL: tuning parameters and the teams' shares.
+
+An example:
 
 factory {
   period_s       = 2
@@ -19,7 +21,7 @@
 
 
 class FactoryTuning(Struct, frozen=True):
-    """The open parameters of the VM factory (paper: tau, mu, nu, k, lambda)."""
+    """Parameters of the VM factory (in the paper: tau, mu, nu, k, lambda)."""
 
     period_s: float = 0.5
     load_high: float = 1.02
@@ -29,17 +31,20 @@
     most_rented: int = 50
     most_returned: int = 2
     weight_of_time: float = 0.3
-    # No limit in practice: what waits bounds a rent, and the cloud's refusal a pool.
+    # No limit in practice: a rental is bounded by the waiting tasks, and a pool by the cloud's
+    # refusals.
     pool_cap: int = 100_000
     idle_keep_s: float = 3.0
-    # Steady machines for work that may use spot ones are to be up after it has waited this long.
+    # Tasks that may use spot machines get on-demand ones that are up after they have waited this
+    # long.
     steady_within_s: float = 45.0
-    # Waiting work must fill this part of a new machine, if there are machines it can wait for.
+    # The waiting tasks must fill this fraction of a new machine, if there are others that they can
+    # wait for.
     least_fill: float = 0.5
 
 
 class FleetTuning(Struct, frozen=True):
-    """When machines are distrusted."""
+    """When machines are considered silent, unhealthy or overdue in booting."""
 
     silent_reports: float = 3.5
     errors_to_distrust: int = 2
@@ -47,38 +52,42 @@
 
 
 class LeadershipTuning(Struct, frozen=True):
-    """How soon a dead controller is noticed."""
+    """How long a controller's lease lasts, and how often it is renewed."""
 
     ttl_s: float = 3.0
     renew_s: float = 0.8
 
 
 class Tuning(Struct, frozen=True):
-    """Everything an operator may change."""
+    """Everything that an operator may change."""
 
     factory: FactoryTuning = FactoryTuning()
     fleet: FleetTuning = FleetTuning()
     leadership: LeadershipTuning = LeadershipTuning()
     shares: dict[str, float] = {}
-    # None: the failure detector is off.
+    # None means that the failure detector is off.
     detection: DetectionTuning | None = None
 
 
-def _plain(value: Any) -> Any:
-    """HCL strings arrive with their quotes; blocks carry a marker of their own."""
+def _strip_parser_markup(value: Any) -> Any:
+    """Remove the quotes that the parser keeps on strings, and the keys that it adds to blocks."""
     if isinstance(value, str):
         return value[1:-1] if len(value) > 1 and value[0] == value[-1] == '"' else value
     if isinstance(value, list):
-        return [_plain(item) for item in value]
+        return [_strip_parser_markup(item) for item in value]
     if isinstance(value, dict):
-        return {_plain(k): _plain(v) for k, v in value.items() if not k.startswith("__")}
+        return {
+            _strip_parser_markup(k): _strip_parser_markup(v)
+            for k, v in value.items()
+            if not k.startswith("__")
+        }
     return value
 
 
 def _single(raw: dict[str, Any], name: str) -> dict[str, Any]:
     blocks = raw.get(name, [])
     if not isinstance(blocks, list) or len(blocks) > 1:
-        raise ValueError(f"{name}: must be one block")
+        raise ValueError(f"{name}: must be a single block")
     return blocks[0] if blocks else {}
 
 
@@ -106,22 +115,22 @@
 
 def load_tuning(text: str) -> Tuning:
     """Parse an operators' file; ValueError names the field."""
-    # Imported here: the parser costs start-up time, and most controllers have no such file.
+    # Imported here: the parser takes time to import, and most controllers have no such file.
     import hcl2
 
     try:
-        raw = _plain(hcl2.loads(text))
-    except Exception as error:  # the parser's errors share no base class
-        reason = str(error).strip().splitlines()[0] if str(error).strip() else "bad syntax"
+        raw = _strip_parser_markup(hcl2.loads(text))
+    except Exception as error:  # the parser's errors have no common base class
+        reason = str(error).strip().splitlines()[0] if str(error).strip() else "syntax error"
         raise ValueError(f"not HCL: {reason}") from None
     shares: dict[str, Any] = {}
     for block in raw.get("team", []):
         for name, body in block.items():
             if "share" in body:
                 shares[name] = body["share"]
-    plain = {name: _single(raw, name) for name in ("factory", "fleet", "leadership")}
+    blocks = {name: _single(raw, name) for name in ("factory", "fleet", "leadership")}
     try:
-        tuning = msgspec.convert({**plain, "shares": shares}, Tuning)
+        tuning = msgspec.convert({**blocks, "shares": shares}, Tuning)
     except msgspec.ValidationError as error:
         raise ValueError(str(error)) from None
     _check_ranges(tuning)
--- a/mosswalk/config/sockets.py
+++ b/mosswalk/config/sockets.py
@@ -1,4 +1,4 @@
-"""How the sockets that a controller may hold are shared out."""
+"""Divides the sockets that a controller may use among their purposes."""
 
 from __future__ import annotations
 
@@ -6,17 +6,19 @@
 
 
 class SocketBudget(Struct, frozen=True):
-    """Most connections at a time; what is left over is for users and the balancer's probes."""
+    """Connection limits; the rest is left for users and the load balancer's probes."""
 
     # To the state service, the cloud and the other controllers.
     calls: int
-    # Orders under way. Apart from the calls: orders to a cut-off zone hang, hundreds of them at
-    # once, and must not keep the lease from being renewed.
+    # Commands in flight. They have a budget of their own, because hundreds of commands to a zone
+    # that is cut off can hang at once, which must not prevent the lease from being renewed.
     commands: int
-    # Workers' own connections to a leader, and those kept open to send them orders.
+    # Workers' own connections to a leader, and connections kept open to send them commands.
     workers: int
 
 
-def socket_budget(most: int) -> SocketBudget:
-    """Share out a limit."""
-    return SocketBudget(max(16, most // 8), max(16, most // 5), most * 5 // 8)
+def socket_budget(max_connections: int) -> SocketBudget:
+    """Divide a total number of connections."""
+    return SocketBudget(
+        max(16, max_connections // 8), max(16, max_connections // 5), max_connections * 5 // 8
+    )
