--- a/mosswalk/detection/detector.py
+++ b/mosswalk/detection/detector.py
@@ -37,9 +37,9 @@
 
 # A tick that is late by more than this fraction of ``floor_s`` is a stall of this process.
 _STALL_LIMIT_FRACTION = 0.5
-# In heartbeat periods: a controller is sent a heartbeat if it was last heard longer ago than the
-# first, or if it last answered a request longer ago than the second.
+# A heartbeat is sent to a controller that was last heard more than this many heartbeat periods ago,
 _EXCHANGE_AFTER_PERIODS = 0.75
+# or that last answered a request of this controller more than this many periods ago.
 _REQUEST_AFTER_PERIODS = 2.5
 
 
@@ -84,7 +84,7 @@
         # An older heartbeat of an observer is not counted as a vote.
         self._max_vote_age_us = to_us(tuning.ceiling_s)
         self._cut_off: frozenset[str] = frozenset()
-        # The latest verdict that this controller has given on each other one.
+        # The latest verdict that this controller has given on each other one, by name.
         self._verdicts: dict[str, Verdict] = {}
         self._verdict_count = 0
         # Of the latest of these verdicts: time since the last contact.
@@ -104,7 +104,7 @@
         return term is not None and term.detects
 
     def suspected(self) -> frozenset[str]:
-        """Present controllers that are suspected: they get nothing new.
+        """Present controllers that are suspected: they get no new teams and no offers.
 
         Absent ones are left out, since they own nothing that could be withheld or waited for.
         """
--- a/mosswalk/peers/health.py
+++ b/mosswalk/peers/health.py
@@ -41,7 +41,7 @@
         self,
         others: Iterable[str],
         peers: PeerStatusClient,
-        confirmed_us: Callable[[], int],
+        confirmed_until_us: Callable[[], int],
         clock: Clock,
         leads: Callable[[], bool] = lambda: False,
         on_unreachable: Callable[[frozenset[str]], None] = lambda _: None,
@@ -49,7 +49,7 @@
     ) -> None:
         self._others = tuple(others)
         self._peers = peers
-        self._confirmed_us = confirmed_us
+        self._confirmed_until_us = confirmed_until_us
         self._clock = clock
         self._leads = leads
         self._on_unreachable = on_unreachable
@@ -66,7 +66,7 @@
 
     def is_served(self) -> bool:
         """Whether the state service serves this controller."""
-        return self._clock.now_us() - self._confirmed_us() < MAX_CONFIRMATION_AGE_US
+        return self._clock.now_us() - self._confirmed_until_us() < MAX_CONFIRMATION_AGE_US
 
     def cannot_reach_leader(self, leader: str | None) -> bool:
         """Whether neither the leader nor a controller that could name a new one can be reached.
