--- a/mosswalk/detection/view_builder.py
+++ b/mosswalk/detection/view_builder.py
@@ -12,7 +12,7 @@
 
 _MS_PER_S = 1000
 
-# Sent to `mosswalk peers` as ``why``, and logged at each change of state.
+# Sent to ``mosswalk peers`` as ``why``, and logged at each change of state.
 STATE_DESCRIPTIONS: dict[LinkState, str] = {
     "alive": "heard",
     "silent": "not heard here, nor by those who were asked",
