--- a/mosswalk/fleet/__init__.py
+++ b/mosswalk/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""The leader and its machines: reports, commands, offers, renting, failure detection."""
+"""Machine management by the leader: reports, commands, offers, renting, failure detection."""
--- a/mosswalk/fleet/follower_reports.py
+++ b/mosswalk/fleet/follower_reports.py
@@ -1,6 +1,7 @@
-"""What a controller that does not lead answers to workers.
+"""Answers of a controller that does not lead to the reports of workers.
 
-Mostly it sends them on to the leader. Where nobody else can, it keeps their tasks alive.
+Workers are redirected to the leader. If no other controller can renew their leases, this one does,
+to keep their tasks running.
 """
 
 from __future__ import annotations
@@ -20,35 +21,38 @@
 
 log = logging.getLogger(__name__)
 
-# The leader asks each second or two how many workers came.
-_ASKED_US = 2 * SECOND_US
+# The leader asks its followers every one or two seconds how many workers have turned to them.
+_LEADER_POLL_INTERVAL_US = 2 * SECOND_US
 
 
 class FollowerReports:
-    """Answers reports while another controller leads, or while this one may not answer."""
+    """Answers reports while another controller leads, or this leader may not renew leases."""
 
     def __init__(
         self, limits: WorkerLimits, registry: JobRegistry, leadership: Leadership, clock: Clock
     ) -> None:
         self._registry = registry
         self._leadership = leadership
-        # Long enough that the leader misses none of them.
-        self.recent_workers = RecentWorkers(_ASKED_US + to_us(limits.report_s), clock)
-        # Workers sent to the leader within a lease: one that comes back was not answered there.
-        self._sent_on = RecentWorkers(to_us(limits.lease_s), clock)
-        # Whether no leader can be reached from here, nor anybody who could name one.
+        # The window is long enough that no worker is missed between two polls of the leader.
+        self.recent_workers = RecentWorkers(
+            _LEADER_POLL_INTERVAL_US + to_us(limits.report_s), clock
+        )
+        # Workers redirected within the last lease duration. One that comes back was not answered by
+        # the leader.
+        self._redirected = RecentWorkers(to_us(limits.lease_s), clock)
+        # Whether neither a leader nor a controller that knows one can be reached from here.
         self.no_leader_reachable: Callable[[], bool] = lambda: False
-        # Whether the state service serves nobody who can be reached.
+        # Whether no controller that can be reached is served by the state service.
         self.no_peer_reaches_state_service: Callable[[], bool] = lambda: False
-        self._keeps = False
+        self._renews_leases = False
 
     def answer(self, report: Report) -> tuple[int, bytes]:
-        """The status and the body of the answer to a report."""
-        if self._may_keep(report):
-            orders = tuple(kill_commands_for_closed_jobs(report, self._registry.jobs))
-            return 200, msgspec.json.encode(ReportAnswer(self._leadership.term_number(), orders))
+        """Return status and body of the answer to a report."""
+        if self._may_renew_lease(report):
+            commands = tuple(kill_commands_for_closed_jobs(report, self._registry.jobs))
+            return 200, msgspec.json.encode(ReportAnswer(self._leadership.term_number(), commands))
         self.recent_workers.record(report.machine)
-        self._sent_on.record(report.machine)
+        self._redirected.record(report.machine)
         return self._refusal()
 
     def _refusal(self) -> tuple[int, bytes]:
@@ -57,21 +61,24 @@
             return 421, msgspec.json.encode(Redirect(leader))
         return 503, b'{"error":"not entitled to answer"}'
 
-    def _may_keep(self, report: Report) -> bool:
-        """Whether to keep a machine's tasks alive although another controller leads.
+    def _may_renew_lease(self, report: Report) -> bool:
+        """Whether to renew a worker's lease although this controller does not lead.
 
-        In a zone that is cut off nobody else can; and in an outage of the state service a leader
-        that the workers can't reach is not able to hand over. A worker that has seen a higher
-        epoch would drop our answer and stay with us until its lease ends, so it is sent on.
+        In a partitioned zone no other controller can, and in an outage of the state service a
+        leader that the workers can't reach is unable to hand over. A worker that has seen a higher
+        term is redirected: it would discard the answer and go on reporting here until its lease
+        ends.
         """
-        may_keep = (
+        may_renew = (
             self.no_peer_reaches_state_service()
             and self._leadership.may_renew_worker_leases_as_follower()
         )
-        keeps = may_keep and (self.no_leader_reachable() or self._sent_on.contains(report.machine))
-        if keeps and not self._keeps:
-            log.info("workers are kept alive here")
-        elif self._keeps and not may_keep:
-            log.info("workers are kept alive no more")
-        self._keeps = may_keep and (keeps or self._keeps)
-        return keeps and report.term <= self._leadership.term_number()
+        renews = may_renew and (
+            self.no_leader_reachable() or self._redirected.contains(report.machine)
+        )
+        if renews and not self._renews_leases:
+            log.info("renewing worker leases as a follower")
+        elif self._renews_leases and not may_renew:
+            log.info("no longer renewing worker leases as a follower")
+        self._renews_leases = may_renew and (renews or self._renews_leases)
+        return renews and report.term <= self._leadership.term_number()
--- a/mosswalk/fleet/inventory.py
+++ b/mosswalk/fleet/inventory.py
@@ -16,8 +16,8 @@
 
 # Names of machines that are gone are kept this long, so that neither the lagging list nor a late
 # copy of a report brings them back; and this many of them however old they are.
-_GONE_US = 600 * SECOND_US
-_LEAST_GONE = 5000
+_GONE_RETENTION_US = 600 * SECOND_US
+_MIN_RETAINED_GONE = 5000
 
 
 class Machine(Struct):
@@ -67,34 +67,34 @@
     # Starts sent to /orders whose answer never came, with the epoch and tenure they carried.
     unanswered_starts: dict[TaskKey, tuple[int, int]] = field(default_factory=dict)
 
-    def utilization(self, shape: MachineType) -> float:
+    def utilization(self, machine_type: MachineType) -> float:
         """The used part of its scarcer amount."""
         return max(
-            self.used_cpus / max(1, milli_ceil(shape.cpus)),
-            self.used_memory / max(1, milli_ceil(shape.memory_gb)),
+            self.used_cpus / max(1, milli_ceil(machine_type.cpus)),
+            self.used_memory / max(1, milli_ceil(machine_type.memory_gb)),
         )
 
     def is_new_report(self, report: Report) -> bool:
         """Whether a report is newer than all seen before."""
         return (report.session, report.sequence) > (self.session, self.sequence)
 
-    def update_tasks(self, reported: tuple[TaskReport, ...]) -> bool:
+    def update_tasks(self, reported_tasks: tuple[TaskReport, ...]) -> bool:
         """Take over what a report lists; whether that is anything new."""
-        if reported == self.reported_tasks:
+        if reported_tasks == self.reported_tasks:
             return False
-        self.reported_tasks = reported
-        tasks = {(task.task, task.attempt): task for task in reported}
+        self.reported_tasks = reported_tasks
+        tasks = {(task.task, task.attempt): task for task in reported_tasks}
         if tasks == self.tasks:
             return False
         self.tasks = tasks
         self.exited_tasks = frozenset(key for key, task in tasks.items() if task.phase == "exited")
         return True
 
-    def record_answer(self, epoch: int, orders: tuple[Command, ...], now_us: int) -> None:
+    def record_answer(self, term: int, commands: tuple[Command, ...], now_us: int) -> None:
         """Our answer to a report is on its way."""
         self.last_answer_term, self.last_answer_commands, self.last_answer_at_us = (
-            epoch,
-            orders,
+            term,
+            commands,
             now_us,
         )
 
@@ -104,9 +104,9 @@
         Reports of a machine that nothing reaches are no sign of health. A worker has one report
         under way at a time, so it has carried out the answer to the one before, or lost it.
         """
-        again = report.session > self.session
+        is_new_session = report.session > self.session
         if (
-            again
+            is_new_session
             and self.has_acknowledged_leader
             and self.session > 0
             and self.last_answer_at_us > 0
@@ -114,11 +114,11 @@
         ):
             # Its lease ran out although we answered in time. It may have been restarted, too.
             self.needs_direct_answer = True
-        heard = report.term >= self.last_answer_term and (
-            again
-            or all(report_shows_execution(order, report) for order in self.last_answer_commands)
+        received = report.term >= self.last_answer_term and (
+            is_new_session
+            or all(report_shows_execution(command, report) for command in self.last_answer_commands)
         )
-        if heard and not self.needs_direct_answer:
+        if received and not self.needs_direct_answer:
             self.not_receiving_since_us = None
         elif self.not_receiving_since_us is None:
             self.not_receiving_since_us = now_us
@@ -135,20 +135,20 @@
         while len(self.cached_images) > 1 and sum(self.cached_images.values()) > cache_gb:
             self.cached_images.popitem(last=False)
 
-    def may_still_start(self, key: TaskKey, epoch: int) -> bool:
+    def may_still_start(self, key: TaskKey, term: int) -> bool:
         """Whether an unanswered start could still be carried out."""
         sent = self.unanswered_starts.get(key)
-        return sent is not None and sent[0] >= max(epoch, self.term) and sent[1] == self.session
+        return sent is not None and sent[0] >= max(term, self.term) and sent[1] == self.session
 
 
-def report_shows_execution(order: Command, report: Report) -> bool:
+def report_shows_execution(command: Command, report: Report) -> bool:
     """Whether a report shows that an order has been carried out."""
     found = next(
-        (t for t in report.tasks if t.task == order.task and t.attempt == order.attempt), None
+        (t for t in report.tasks if t.task == command.task and t.attempt == command.attempt), None
     )
-    if order.op == "run":
+    if command.op == "run":
         return found is not None
-    if order.op == "kill":
+    if command.op == "kill":
         return found is None or found.phase in ("saving", "exited")
     return found is None
 
@@ -160,34 +160,34 @@
         self.machines: dict[str, Machine] = {}
         self.types: dict[str, MachineType] = {}
         # With when the cloud confirmed it, the oldest first.
-        self._gone: OrderedDict[str, int] = OrderedDict()
+        self._gone_at_us: OrderedDict[str, int] = OrderedDict()
 
     def is_gone(self, name: str) -> bool:
         """Whether the cloud has confirmed that the machine is gone."""
-        return name in self._gone
+        return name in self._gone_at_us
 
     def remove(self, name: str, now_us: int) -> Machine | None:
         """The cloud has confirmed the return."""
-        self._gone[name] = now_us
-        self._gone.move_to_end(name)
-        while len(self._gone) > _LEAST_GONE:
-            oldest, gone_us = next(iter(self._gone.items()))
-            if now_us - gone_us < _GONE_US:
+        self._gone_at_us[name] = now_us
+        self._gone_at_us.move_to_end(name)
+        while len(self._gone_at_us) > _MIN_RETAINED_GONE:
+            oldest, gone_at_us = next(iter(self._gone_at_us.items()))
+            if now_us - gone_at_us < _GONE_RETENTION_US:
                 break
-            del self._gone[oldest]
+            del self._gone_at_us[oldest]
         return self.machines.pop(name, None)
 
     def adopt(
         self,
         name: str,
-        kind: str,
+        machine_type: str,
         zone: str,
         spot: bool,
         phase: Literal["booting", "up"],
         now_us: int,
     ) -> Machine:
         """Add a machine that this leader has not rented."""
-        machine = Machine(name, kind, zone, spot, phase, now_us, now_us)
+        machine = Machine(name, machine_type, zone, spot, phase, now_us, now_us)
         machine.last_seen_at_us = now_us
         self.machines[name] = machine
         return machine
--- a/mosswalk/fleet/manager.py
+++ b/mosswalk/fleet/manager.py
@@ -39,7 +39,7 @@
     Tick,
 )
 from mosswalk.fleet.offers import OfferPlanner
-from mosswalk.fleet.outcome_sender import OutcomeLink, OutcomeSender
+from mosswalk.fleet.outcome_sender import OutcomeClient, OutcomeSender
 from mosswalk.fleet.overdue_machines import WORKER_RECONNECT_US, OverdueMachines
 from mosswalk.fleet.preempting import Preemptor
 from mosswalk.fleet.recent_workers import leader_unreachable_for_workers
@@ -64,26 +64,26 @@
 
 log = logging.getLogger(__name__)
 
-_PLAN_GAP_US = 50_000
+_MIN_PLAN_INTERVAL_US = 50_000
 # A plan is followed by a pause this many times as long, so that reports and health checks,
 # which wait for nothing else, get most of the processor's time however long plans take.
-_PLAN_REST = 4
-_TICK_US = 500_000
-_PAUSE_US = 2 * SECOND_US
-_LIST_US = 4 * SECOND_US
+_PLAN_PAUSE_FACTOR = 4
+_TICK_INTERVAL_US = 500_000
+_STALL_LIMIT_US = 2 * SECOND_US
+_MIN_LIST_INTERVAL_US = 4 * SECOND_US
 # The machine list of a large fleet has many pages: reading it again and again takes no more than
 # this part of the cloud's calls.
-_LIST_PART = 0.25
-_TYPES_US = 60 * SECOND_US
-_PREEMPT_US = 500_000
-_GANG_PREEMPT_US = 150_000
-_MOVE_US = SECOND_US
-_ORPHANS_US = 60 * SECOND_US
+_MAX_LIST_CALL_FRACTION = 0.25
+_MACHINE_TYPES_INTERVAL_US = 60 * SECOND_US
+_PREEMPTION_INTERVAL_US = 500_000
+_GANG_PREEMPTION_INTERVAL_US = 150_000
+_CONSOLIDATION_INTERVAL_US = SECOND_US
+_ORPHAN_CLEANUP_INTERVAL_US = 60 * SECOND_US
 # How long room freed by stopping attempts is kept for those it was freed for.
-_CLAIM_US = 4 * SECOND_US
+_CLAIM_DURATION_US = 4 * SECOND_US
 
 
-class OwnerLink(OutcomeLink, Protocol):
+class OwnerClient(OutcomeClient, Protocol):
     """How owners elsewhere are spoken to."""
 
     def offer(self, node: str, message: Offer) -> Awaitable[OfferAnswer]:
@@ -103,8 +103,8 @@
         writer: GroupWriter,
         leadership: Leadership,
         owner: Owner,
-        peers: OwnerLink,
-        session: aiohttp.ClientSession,
+        peers: OwnerClient,
+        http_session: aiohttp.ClientSession,
         clock: Clock,
     ) -> None:
         super().__init__()
@@ -118,7 +118,7 @@
         self._clock = clock
         workers = settings.params.workers
         self._lease_us = to_us(workers.lease_s)
-        self._period_us = to_us(settings.tuning.factory.period_s)
+        self._factory_interval_us = to_us(settings.tuning.factory.period_s)
         self._list_lag_us = to_us(settings.params.cloud.list_lag_s)
         self.inventory = Inventory()
         self._failures = TaskFailures(settings.tuning.fleet.errors_to_distrust)
@@ -140,26 +140,26 @@
         self._leading_since_us = 0
         # Since when reports have been taken without a break: silence counts from then on only.
         self._answering_since_us = 0
-        self._ticked_us = 0
+        self._last_tick_at_us = 0
         self._list_received = False
         # Whether the cloud has told us of machine types and their prices since we began to lead.
-        self._priced = False
+        self._types_received = False
         self._is_first_leader = False
-        self._asked_list_us = 0
-        self._asked_types_us = 0
-        self._factory_us = 0
-        self._preempt_us = 0
-        self._moved_us = 0
-        self._orphans_us = 0
+        self._list_requested_at_us = 0
+        self._types_requested_at_us = 0
+        self._last_factory_run_at_us = 0
+        self._last_preemption_at_us = 0
+        self._last_consolidation_at_us = 0
+        self._last_orphan_cleanup_at_us = 0
         self._plan_scheduled = False
-        self._plan_rest_us = 0
-        self._upkeep = RecordMaintenance(settings, mirror, registry, writer, leadership)
+        self._plan_pause_us = 0
+        self._record_maintenance = RecordMaintenance(settings, mirror, registry, writer, leadership)
         self._outcome_sender = OutcomeSender(registry, leadership, owner, peers, self.spawn, clock)
         self._stops = StopRegistry(
             settings,
             self.inventory,
             registry,
-            lambda machine, order: self._command_sender.send(machine, order),
+            lambda machine, command: self._command_sender.send(machine, command),
             self._offers.is_silent,
             clock,
         )
@@ -167,7 +167,7 @@
             self.inventory,
             registry,
             leadership,
-            session,
+            http_session,
             lambda machine, key: self._stops.grace_s(machine, key) is not None,
             self.send,
             self.spawn,
@@ -202,10 +202,10 @@
         )
         self.follower_reports = FollowerReports(workers, registry, leadership, clock)
         # Within this time a machine that is well reports, give or take what reports vary by.
-        self._report_us = to_us(1.3 * workers.report_s)
+        self._expected_report_us = to_us(1.3 * workers.report_s)
         registry.on_attempt_added.append(self._on_attempt_recorded)
-        registry.on_withdrawn.append(self._withdrawn)
-        registry.on_gang_ending.append(self._gang_ending)
+        registry.on_withdrawn.append(self._on_job_withdrawn)
+        registry.on_gang_ending.append(self._on_gang_ending)
         mirror.on_batch_applied(self.fleet_changed)
         leadership.on_term.append(lambda: self.send(TermChanged()))
 
@@ -215,24 +215,24 @@
         """Handle one message."""
         match message:
             case DirectCommandsDone():
-                self._push_done(message)
+                self._on_direct_commands_done(message)
             case OfferDone():
-                self._offer_done(message)
+                self._on_offer_done(message)
             case Plan():
                 self._plan_scheduled = False
                 if self._leading:
-                    self._plan()
+                    self._plan_offers()
             case Tick():
-                self._check_lead()
+                self._check_leadership()
                 if self._leading:
                     self._tick()
             case TermChanged():
-                self._check_lead()
+                self._check_leadership()
             case ListResult() if self._leading:
                 self._list_received = True
                 self._machine_list.process(message)
             case ReleaseResult() if self._leading:
-                self._released(message.machines)
+                self._on_released(message.machines)
             case RentResult() if self._leading:
                 self._scaler.on_rented(message)
             case MachineTypesResult() if self._leading:
@@ -243,7 +243,7 @@
     async def ticker(self) -> None:
         """Tick for ever."""
         while True:
-            await asyncio.sleep(to_s(_TICK_US))
+            await asyncio.sleep(to_s(_TICK_INTERVAL_US))
             self.send(Tick())
 
     def answer_report(self, report: Report) -> tuple[int, bytes]:
@@ -252,39 +252,39 @@
         Not by the mailbox: no handler awaits, so none is half done when a report comes, and a
         report need not wait behind all that others have told.
         """
-        self._check_lead()
+        self._check_leadership()
         self._leadership.observe_term(report.term)
         if not self._leading or not self._leadership.may_renew_worker_leases():
             return self.follower_reports.answer(report)
-        orders = self._report_intake.process(report, is_periodic=True)
-        answer = ReportAnswer(self._leadership.term_number(), tuple(orders))
+        commands = self._report_intake.process(report, is_periodic=True)
+        answer = ReportAnswer(self._leadership.term_number(), tuple(commands))
         return 200, msgspec.json.encode(answer)
 
     def fleet_changed(self) -> None:
         """Have a plan made soon."""
         if self._leading and not self._plan_scheduled:
             self._plan_scheduled = True
-            gap_us = max(_PLAN_GAP_US, self._plan_rest_us)
-            asyncio.get_running_loop().call_later(to_s(gap_us), self.send, Plan())
+            interval_us = max(_MIN_PLAN_INTERVAL_US, self._plan_pause_us)
+            asyncio.get_running_loop().call_later(to_s(interval_us), self.send, Plan())
 
-    def _check_lead(self) -> None:
+    def _check_leadership(self) -> None:
         leads = self._leadership.leads()
         if leads and not self._leading:
             log.info("leading in term %d", self._leadership.term_number())
             self._leading = True
-            self._leading_since_us = self._ticked_us = self._answering_since_us = (
+            self._leading_since_us = self._last_tick_at_us = self._answering_since_us = (
                 self._clock.now_us()
             )
             self._report_intake.start_leading(self._leadership.term_number())
             # Nobody led before us, so nobody rented anything: no need to wait for the list.
             self._is_first_leader = self._leadership.term_number() <= 1
-            self._list_received = self._priced = False
+            self._list_received = self._types_received = False
             self._load_recorded_types()
-            self._asked_list_us = self._asked_types_us = -_TYPES_US
+            self._list_requested_at_us = self._types_requested_at_us = -_MACHINE_TYPES_INTERVAL_US
             for machine in list(self._registry.attempts_by_machine):
                 self.inventory.add_from_record(machine, self._clock.now_us())
             self._stops.reset()
-            self._orphans_us = -_ORPHANS_US
+            self._last_orphan_cleanup_at_us = -_ORPHAN_CLEANUP_INTERVAL_US
             self._tick()
         elif not leads and self._leading:
             log.info("leading no more")
@@ -302,14 +302,14 @@
 
     # Reports and orders.
 
-    def is_unreachable_for_workers(self, elsewhere: int) -> bool:
+    def is_unreachable_for_workers(self, reporting_elsewhere: int) -> bool:
         """Whether the workers can't reach this leader, but turn to others."""
         now_us = self._clock.now_us()
         if not self._leading or now_us - self._answering_since_us < WORKER_RECONNECT_US:
             return False
         up = [m for m in self.inventory.machines.values() if m.phase == "up" and not m.releasing]
-        heard = sum(1 for m in up if now_us - m.last_seen_at_us < self._report_us)
-        return leader_unreachable_for_workers(len(up), heard, elsewhere)
+        reporting_here = sum(1 for m in up if now_us - m.last_seen_at_us < self._expected_report_us)
+        return leader_unreachable_for_workers(len(up), reporting_here, reporting_elsewhere)
 
     def machine_up(self, machine: Machine) -> None:
         """Use a machine that has come up, and give back what its rent's copies hold."""
@@ -321,10 +321,10 @@
             machine.zone,
             took_us / SECOND_US,
         )
-        for back in self._scaler.on_machine_up(machine, self._calls_left()):
-            self._give_back(back)
+        for release in self._scaler.on_machine_up(machine, self._available_cloud_calls()):
+            self._release_if_unused(release)
 
-    def _calls_left(self) -> int:
+    def _available_cloud_calls(self) -> int:
         return self.cloud.available_calls() if self.cloud is not None else 0
 
     def _on_attempt_recorded(self, name: str, job: Job, attempt: records.Attempt) -> None:
@@ -338,15 +338,15 @@
             machine, Command("run", task_name(job.id, attempt.task), attempt.number)
         )
 
-    def _withdrawn(self, job: Job) -> None:
+    def _on_job_withdrawn(self, job: Job) -> None:
         if self._leading:
             self._stops.kill_withdrawn(job)
 
-    def _gang_ending(self, job: Job) -> None:
+    def _on_gang_ending(self, job: Job) -> None:
         if self._leading:
             self._stops.kill_gang(job)
 
-    def _push_done(self, message: DirectCommandsDone) -> None:
+    def _on_direct_commands_done(self, message: DirectCommandsDone) -> None:
         self._command_sender.request_ended(message.machine)
         machine = self.inventory.machines.get(message.machine)
         if machine is None:
@@ -357,21 +357,24 @@
                     del machine.unanswered_starts[start]
         if message.report is not None:
             self._leadership.observe_term(message.report.term)
-            self._check_lead()
+            self._check_leadership()
             if self._leading:
                 self._report_intake.process(message.report, is_periodic=False)
 
     # Room and offers.
 
-    def _plan(self) -> None:
-        begun_us = self._clock.now_us()
+    def _plan_offers(self) -> None:
+        started_at_us = self._clock.now_us()
         for node, offer in self._offers.plan():
             self.spawn(self._send_offer(node, offer))
-        if self._scaler.has_blocked_gangs() and begun_us - self._preempt_us > _GANG_PREEMPT_US:
+        if (
+            self._scaler.has_blocked_gangs()
+            and started_at_us - self._last_preemption_at_us > _GANG_PREEMPTION_INTERVAL_US
+        ):
             # They are to begin within seconds: not left for the next tick.
-            self._preempt_us = begun_us
-            self._preempt(self._scaler.waiting_tasks())
-        self._plan_rest_us = _PLAN_REST * (self._clock.now_us() - begun_us)
+            self._last_preemption_at_us = started_at_us
+            self._preempt_attempts(self._scaler.waiting_tasks())
+        self._plan_pause_us = _PLAN_PAUSE_FACTOR * (self._clock.now_us() - started_at_us)
 
     async def _send_offer(self, node: str, offer: Offer) -> None:
         answer: OfferAnswer | None = None
@@ -384,7 +387,7 @@
             log.debug("offer to %s: %s", node, error)
         self.send(OfferDone(node, answer))
 
-    def _offer_done(self, message: OfferDone) -> None:
+    def _on_offer_done(self, message: OfferDone) -> None:
         self._offers.on_answer(message.node, message.answer)
         self.fleet_changed()
 
@@ -392,26 +395,26 @@
 
     def _tick(self) -> None:
         now_us = self._clock.now_us()
-        if now_us - self._ticked_us > _PAUSE_US:
+        if now_us - self._last_tick_at_us > _STALL_LIMIT_US:
             # We were stopped ourselves, so others' silence tells nothing yet. Seen in a recorded
             # day: a leader woke after 20 s and released every machine, deposed as it was.
-            log.info("was stopped for %.1f s", (now_us - self._ticked_us) / SECOND_US)
+            log.info("was stopped for %.1f s", (now_us - self._last_tick_at_us) / SECOND_US)
             self._leading_since_us = self._answering_since_us = now_us
             self._report_intake.restart_after_pause()
-        self._ticked_us = now_us
-        answers = self._leadership.may_renew_worker_leases()
-        if not answers:
+        self._last_tick_at_us = now_us
+        may_renew_leases = self._leadership.may_renew_worker_leases()
+        if not may_renew_leases:
             # We turn reports away ourselves. Seen on a recorded day: when the state service came
             # back after 52 s, every machine was released as silent in that second.
             self._answering_since_us = now_us
-        if self.cloud is None or not answers:
+        if self.cloud is None or not may_renew_leases:
             return
-        types_us = _TYPES_US if self._priced else 2 * SECOND_US
-        if now_us - self._asked_types_us > types_us:
-            self._asked_types_us = now_us
+        types_interval_us = _MACHINE_TYPES_INTERVAL_US if self._types_received else 2 * SECOND_US
+        if now_us - self._types_requested_at_us > types_interval_us:
+            self._types_requested_at_us = now_us
             self.spawn(self.cloud.refresh_machine_types())
-        if now_us - self._asked_list_us > self._list_period_us():
-            self._asked_list_us = now_us
+        if now_us - self._list_requested_at_us > self._list_period_us():
+            self._list_requested_at_us = now_us
             self.spawn(self.cloud.refresh_machine_list())
         for name in list(self._registry.attempts_by_machine):
             if name not in self.inventory.machines:
@@ -424,32 +427,42 @@
         self._outcome_sender.send_due()
         self._stale_starts.check()
         self._stops.discard_terminated()
-        self._save_gangs()
+        self._checkpoint_gangs()
         self._failures.retain_jobs(self._registry.jobs)
-        if now_us - self._orphans_us > _ORPHANS_US:
-            self._orphans_us = now_us
-            self.spawn(self._upkeep.remove_orphaned_chunks())
+        if now_us - self._last_orphan_cleanup_at_us > _ORPHAN_CLEANUP_INTERVAL_US:
+            self._last_orphan_cleanup_at_us = now_us
+            self.spawn(self._record_maintenance.remove_orphaned_chunks())
         # Worked out once for all who ask: it walks all that waits, by each team's limit.
         waiting = self._scaler.waiting_tasks()
-        if now_us - self._preempt_us > _PREEMPT_US:
-            self._preempt_us = now_us
-            self._preempt(waiting)
-        if now_us - self._factory_us >= self._period_us and self._ready_to_rent():
-            self._factory_us = now_us
+        if now_us - self._last_preemption_at_us > _PREEMPTION_INTERVAL_US:
+            self._last_preemption_at_us = now_us
+            self._preempt_attempts(waiting)
+        if (
+            now_us - self._last_factory_run_at_us >= self._factory_interval_us
+            and self._ready_to_rent()
+        ):
+            self._last_factory_run_at_us = now_us
             self._run_factory(waiting)
-        if now_us - self._moved_us > _MOVE_US and self._ready_to_rent():
-            self._moved_us = now_us
-            self._move(waiting)
+        if (
+            now_us - self._last_consolidation_at_us > _CONSOLIDATION_INTERVAL_US
+            and self._ready_to_rent()
+        ):
+            self._last_consolidation_at_us = now_us
+            self._consolidate_replicas(waiting)
         self.fleet_changed()
 
     def _list_period_us(self) -> int:
         pages = 1 + len(self.inventory.machines) // MAX_MACHINES_PER_PAGE
         rps = self._settings.params.cloud.rps
-        return max(_LIST_US, to_us(pages / (_LIST_PART * rps)))
+        return max(_MIN_LIST_INTERVAL_US, to_us(pages / (_MAX_LIST_CALL_FRACTION * rps)))
 
     def _ready_to_rent(self) -> bool:
         """Whether the inventory is complete: else machines not known here are rented again."""
-        if not self._list_received or not self._priced or not self._leadership.may_start_tasks():
+        if (
+            not self._list_received
+            or not self._types_received
+            or not self._leadership.may_start_tasks()
+        ):
             return False
         if self._is_first_leader:
             return True
@@ -479,15 +492,15 @@
         if self.cloud is not None:
             self.cloud.release([machine.name], needs_state_service=requires_state_service)
 
-    def _give_back(self, back: Release) -> None:
-        machine = self.inventory.machines.get(back.machine)
+    def _release_if_unused(self, release: Release) -> None:
+        machine = self.inventory.machines.get(release.machine)
         if machine is None:
             return
         if self._registry.attempts_on(machine.name) or self._offers.is_reserved(machine.name):
             return
-        self.release(machine, back.reason)
+        self.release(machine, release.reason)
 
-    def _released(self, names: Iterable[str]) -> None:
+    def _on_released(self, names: Iterable[str]) -> None:
         for name in names:
             for key in self._registry.attempts_on(name):
                 self._outcome_sender.add_confirmed(
@@ -509,22 +522,22 @@
             self.inventory.types = {t.name: t for t in records.decode_machine_types(value)}
 
     def _on_types(self, types: tuple[MachineType, ...]) -> None:
-        self._priced = True
+        self._types_received = True
         self.inventory.types = {t.name: t for t in types}
         for name in self.inventory.machines:
             self._offers.mark_changed(name)
-        if not self._upkeep.machine_types_recorded(types):
-            self.spawn(self._write_types(types))
+        if not self._record_maintenance.machine_types_recorded(types):
+            self.spawn(self._write_machine_types(types))
         self.fleet_changed()
 
-    async def _write_types(self, types: tuple[MachineType, ...]) -> None:
-        if not await self._upkeep.write_machine_types(types):
+    async def _write_machine_types(self, types: tuple[MachineType, ...]) -> None:
+        if not await self._record_maintenance.write_machine_types(types):
             # Until they are there, every submission is turned down.
-            self._asked_types_us = -_TYPES_US
+            self._types_requested_at_us = -_MACHINE_TYPES_INTERVAL_US
 
     # Preemption and the factory.
 
-    def _preempt(self, waiting: list[WaitingTasks]) -> None:
+    def _preempt_attempts(self, waiting: list[WaitingTasks]) -> None:
         """Stop less urgent attempts for tasks that found no room."""
         if not self._leadership.may_start_tasks():
             return
@@ -532,8 +545,8 @@
         for victim in self._preemptor.select_victims(waiting, self._stops):
             spec, attempt = victim.job.spec, victim.attempt
             grace_s = self._preemptor.checkpoint_grace_s(victim)
-            claim_us = now_us + _CLAIM_US + to_us(grace_s)
-            self._offers.claim(attempt.machine, claim_us, victim.preempting_job)
+            claim_until_us = now_us + _CLAIM_DURATION_US + to_us(grace_s)
+            self._offers.claim(attempt.machine, claim_until_us, victim.preempting_job)
             log.info(
                 "stopping %s/%d attempt %d on %s for more urgent work",
                 spec.id,
@@ -543,7 +556,7 @@
             )
             self._stops.stop(victim.job, attempt, grace_s)
 
-    def _move(self, waiting: list[WaitingTasks]) -> None:
+    def _consolidate_replicas(self, waiting: list[WaitingTasks]) -> None:
         """Move replicas together, while nothing waits for room."""
         if waiting:
             return
@@ -557,7 +570,7 @@
             )
             self._stops.stop(job, attempt, 0.0)
 
-    def _save_gangs(self) -> None:
+    def _checkpoint_gangs(self) -> None:
         """Stop gangs that would lose a machine to its notice, as long as all of them can save."""
         for job in list(self._stops.gangs_to_checkpoint()):
             log.info(
@@ -566,11 +579,14 @@
             self._stops.stop_gang(job)
 
     def _run_factory(self, waiting: list[WaitingTasks]) -> None:
-        wanted, returned = self._scaler.decide(
-            waiting, self._offers.free_capacity, self._calls_left(), self._consolidator.draining()
+        wanted, releases = self._scaler.decide(
+            waiting,
+            self._offers.free_capacity,
+            self._available_cloud_calls(),
+            self._consolidator.draining(),
         )
-        for back in returned:
-            self._give_back(back)
+        for release in releases:
+            self._release_if_unused(release)
         if self.cloud is not None:
             for pool, groups in wanted.items():
                 self.spawn(self.cloud.rent(groups, pool))
--- a/mosswalk/fleet/messages.py
+++ b/mosswalk/fleet/messages.py
@@ -1,4 +1,4 @@
-"""What the leader's actor is told."""
+"""Messages to the fleet manager."""
 
 from __future__ import annotations
 
@@ -10,7 +10,11 @@
 
 
 class DirectCommandsDone(Struct):
-    """What became of orders sent to a worker's own address."""
+    """A POST /orders request to a worker has ended.
+
+    ``sent`` is false if no connection was made. ``report`` is the worker's answer, or None if
+    none was received.
+    """
 
     machine: str
     term: int
@@ -21,18 +25,18 @@
 
 
 class OfferDone(Struct):
-    """An owner has placed on an offer, or has not been heard of."""
+    """A team owner has answered an offer; without an answer, the request failed."""
 
     node: str
     answer: OfferAnswer | None
 
 
 class Plan(Struct):
-    """Time to look at what waits and what is free."""
+    """Requests new offers to the team owners."""
 
 
 class Tick(Struct):
-    """Time for what happens on its own."""
+    """Requests the periodic work."""
 
 
 class TermChanged(Struct):
--- a/mosswalk/fleet/outcome_sender.py
+++ b/mosswalk/fleet/outcome_sender.py
@@ -1,4 +1,4 @@
-"""Tells the team owners what became of attempts, until the records show it."""
+"""Sends outcomes of attempts to the team owners until the records show them."""
 
 from __future__ import annotations
 
@@ -17,34 +17,34 @@
 
 log = logging.getLogger(__name__)
 
-_RESEND_US = 700_000
-# How often all that was sent is looked at, at most. Owners gather outcomes for a moment and look at
-# them again when they are told the next: told on the tick alone, gangs' ends were written half a
-# second late.
-_LOOK_US = 50_000
+_RESEND_INTERVAL_US = 700_000
+# Minimum time between two scans of all pending outcomes. Owners collect outcomes for a moment and
+# check them again when the next message arrives: with resends on the periodic tick alone, the ends
+# of gangs were written half a second late.
+_MIN_SCAN_INTERVAL_US = 50_000
 
 
-class OutcomeLink(Protocol):
-    """How owners elsewhere are told."""
+class OutcomeClient(Protocol):
+    """Client for the team owners on other controllers."""
 
     def outcomes(self, node: str, message: Outcomes) -> Awaitable[None]:
-        """Tell outcomes."""
+        """Send outcomes."""
 
 
-class _Told(Struct):
+class _PendingOutcome(Struct):
     outcome: Outcome
-    sent_us: int | None = None
+    sent_at_us: int | None = None
 
 
 class OutcomeSender:
-    """Outcomes that the records don't show yet."""
+    """Keeps the outcomes that the records don't show yet, and sends them to the owners."""
 
     def __init__(
         self,
         registry: JobRegistry,
         leadership: Leadership,
         owner: Owner,
-        peers: OutcomeLink,
+        peers: OutcomeClient,
         spawn: Callable[[Awaitable[None]], None],
         clock: Clock,
     ) -> None:
@@ -54,79 +54,80 @@
         self._peers = peers
         self._spawn = spawn
         self._clock = clock
-        self._told: dict[tuple[str, int], _Told] = {}
-        # Those of them that have not been sent yet: a report costs by what it tells, not by how
-        # many outcomes wait for their writes.
-        self._unsent: dict[tuple[str, int], _Told] = {}
-        self._looked_us = 0
+        self._pending: dict[tuple[str, int], _PendingOutcome] = {}
+        # Those not sent yet. Kept apart so that the cost of a report depends on its own outcomes,
+        # not on how many outcomes wait to be written.
+        self._unsent: dict[tuple[str, int], _PendingOutcome] = {}
+        self._last_scan_at_us = 0
 
     def reset(self) -> None:
-        """Forget all: another controller leads."""
-        self._told.clear()
+        """Discard all state when another controller leads."""
+        self._pending.clear()
         self._unsent.clear()
 
     def add_reported(self, outcome: Outcome) -> None:
-        """A worker has reported it; one told already is sent again in its time only."""
+        """Add an outcome that a worker has reported; one sent before waits for the next resend."""
         key = (outcome.task, outcome.attempt)
-        told = self._told.get(key)
-        if told is None:
+        pending = self._pending.get(key)
+        if pending is None:
             self._add(key, outcome)
         else:
-            told.outcome = outcome
+            pending.outcome = outcome
 
     def add_confirmed(self, outcome: Outcome) -> None:
-        """The cloud has confirmed it: whatever was told before, this is sent at once."""
+        """Add an outcome that the cloud has confirmed; it is sent at once, even if sent before."""
         self._add((outcome.task, outcome.attempt), outcome)
 
     def _add(self, key: tuple[str, int], outcome: Outcome) -> None:
-        self._told[key] = self._unsent[key] = _Told(outcome)
+        self._pending[key] = self._unsent[key] = _PendingOutcome(outcome)
 
     def send_new(self) -> None:
-        """Send what has not been sent yet, and in its time what else is due."""
-        if self._clock.now_us() - self._looked_us >= _LOOK_US:
+        """Send new outcomes, and those due for a resend if the last scan is long enough ago."""
+        if self._clock.now_us() - self._last_scan_at_us >= _MIN_SCAN_INTERVAL_US:
             self.send_due()
             return
         unsent, self._unsent = self._unsent, {}
         self._send_all(list(unsent.items()))
 
     def send_due(self) -> None:
-        """Send what is due, also what was sent a while ago and the records don't show yet."""
+        """Send new outcomes and resend those that the records still don't show."""
         self._unsent.clear()
-        self._looked_us = self._clock.now_us()
-        sent_before_us = self._looked_us - _RESEND_US
+        self._last_scan_at_us = self._clock.now_us()
+        resend_before_us = self._last_scan_at_us - _RESEND_INTERVAL_US
         self._send_all(
             [
-                (key, told)
-                for key, told in self._told.items()
-                if told.sent_us is None or told.sent_us <= sent_before_us
+                (key, pending)
+                for key, pending in self._pending.items()
+                if pending.sent_at_us is None or pending.sent_at_us <= resend_before_us
             ]
         )
 
     def _job_of(self, outcome: Outcome) -> Job | None:
         """The job whose records still show the attempt as live, or None."""
-        split = parse_task_name(outcome.task)
-        if split is None:
+        parsed_name = parse_task_name(outcome.task)
+        if parsed_name is None:
             return None
-        if (*split, outcome.attempt) not in self._registry.attempts_on(outcome.machine):
+        if (*parsed_name, outcome.attempt) not in self._registry.attempts_on(outcome.machine):
             return None
-        return self._registry.jobs.get(split[0])
+        return self._registry.jobs.get(parsed_name[0])
 
-    def _send_all(self, due: list[tuple[tuple[str, int], _Told]]) -> None:
+    def _send_all(self, due: list[tuple[tuple[str, int], _PendingOutcome]]) -> None:
         term = self._leadership.term
         if term is None:
             return
         now_us = self._clock.now_us()
         by_node: dict[str, list[Outcome]] = {}
-        for key, told in due:
-            job = self._job_of(told.outcome)
+        for key, pending in due:
+            job = self._job_of(pending.outcome)
             if job is None:
-                # The record shows it: the worker's next report gets its reap.
-                self._told.pop(key, None)
+                # The record shows the outcome: the answer to the worker's next report has the reap
+                # command.
+                self._pending.pop(key, None)
                 continue
-            told.sent_us = now_us
+            pending.sent_at_us = now_us
             node = term.owners.get(job.spec.team)
             if node is not None:
-                by_node.setdefault(node, []).append(told.outcome)
+                by_node.setdefault(node, []).append(pending.outcome)
         for node, outcomes in by_node.items():
             message = Outcomes(term.term, tuple(outcomes))
             if node == self._leadership.node:
@@ -138,5 +139,5 @@
         try:
             await self._peers.outcomes(node, message)
         except Exception as error:
-            # Told again until the records show them.
+            # They are sent again until the records show them.
             log.debug("outcomes to %s: %s", node, error)
--- a/mosswalk/fleet/recent_workers.py
+++ b/mosswalk/fleet/recent_workers.py
@@ -1,8 +1,8 @@
-"""Whom the workers turn to: how a leader that is cut off from them alone finds out.
+"""Counts the workers that turn to followers, to detect a leader that workers can't reach.
 
-It still has the state service and the other controllers, so its lease holds and nobody else would
-lead. Seen on a standard day: a leader lost its workers for 30 s, went on leading, and every lease
-in the fleet ran out.
+Such a leader still reaches the state service and the other controllers, so its lease holds and no
+other controller would take over. On a standard test day, a leader that the workers could not reach
+for 30 s went on leading, and every worker lease in the fleet expired.
 """
 
 from __future__ import annotations
@@ -11,46 +11,54 @@
 
 from mosswalk.actors import Clock
 
-# A fleet smaller than this may well be quiet for a moment.
-_FEWEST = 3
-# Fewer than one machine in this many is as good as none, or a number to be taken seriously.
-_PART = 10
+# A smaller fleet may send no report for a moment without any fault.
+_MIN_MACHINES = 3
+# The leader is cut off if less than one machine in this many reports to it and at least one in this
+# many reports to other controllers.
+_SIGNIFICANT_ONE_IN = 10
 
 
 class RecentWorkers:
-    """Machines whose workers came to a controller that does not lead, within a while."""
+    """Machines whose workers have reported to this follower within a time window."""
 
-    def __init__(self, while_us: int, clock: Clock) -> None:
-        self._while_us = while_us
+    def __init__(self, window_us: int, clock: Clock) -> None:
+        self._window_us = window_us
         self._clock = clock
-        self._seen_us: OrderedDict[str, int] = OrderedDict()
+        self._last_seen_at_us: OrderedDict[str, int] = OrderedDict()
 
     def record(self, machine: str) -> None:
-        """A worker was sent on."""
-        self._seen_us[machine] = self._clock.now_us()
-        self._seen_us.move_to_end(machine)
-        self._drop_old()
+        """Record that a worker has reported."""
+        self._last_seen_at_us[machine] = self._clock.now_us()
+        self._last_seen_at_us.move_to_end(machine)
+        self._discard_expired()
 
     def contains(self, machine: str) -> bool:
-        """Whether a machine's worker came within the while."""
-        self._drop_old()
-        return machine in self._seen_us
+        """Whether a machine's worker has reported within the window."""
+        self._discard_expired()
+        return machine in self._last_seen_at_us
 
     def count(self) -> int:
-        """How many came within the while."""
-        self._drop_old()
-        return len(self._seen_us)
+        """The number of machines whose workers have reported within the window."""
+        self._discard_expired()
+        return len(self._last_seen_at_us)
 
-    def _drop_old(self) -> None:
-        oldest_us = self._clock.now_us() - self._while_us
-        while self._seen_us and next(iter(self._seen_us.values())) < oldest_us:
-            self._seen_us.popitem(last=False)
+    def _discard_expired(self) -> None:
+        expired_before_us = self._clock.now_us() - self._window_us
+        while (
+            self._last_seen_at_us and next(iter(self._last_seen_at_us.values())) < expired_before_us
+        ):
+            self._last_seen_at_us.popitem(last=False)
 
 
 def leader_unreachable_for_workers(up: int, heard: int, elsewhere: int) -> bool:
-    """Whether the workers try to reach other controllers since they can't reach the leader.
+    """Whether workers turn to other controllers because they can't reach the leader.
 
-    When they are silent everywhere, it is they who are cut off or dead, and a new leader would
-    not hear them either.
+    Of the ``up`` machines, ``heard`` report to the leader and ``elsewhere`` to other controllers.
+    When workers report to no controller at all, they are partitioned or dead themselves, and a new
+    leader would not hear from them either.
     """
-    return up >= _FEWEST and heard * _PART < up <= elsewhere * _PART and elsewhere > heard
+    return (
+        up >= _MIN_MACHINES
+        and heard * _SIGNIFICANT_ONE_IN < up <= elsewhere * _SIGNIFICANT_ONE_IN
+        and elsewhere > heard
+    )
--- a/mosswalk/fleet/report_evaluation.py
+++ b/mosswalk/fleet/report_evaluation.py
@@ -13,7 +13,7 @@
 from mosswalk.wire.peers import Outcome, OutcomeKind
 from mosswalk.wire.workers import Command, Report
 
-_FATES: dict[str, OutcomeKind] = {
+_OUTCOME_BY_CAUSE: dict[str, OutcomeKind] = {
     "done": "done",
     "stopped": "stopped",
     "error": "error",
@@ -41,8 +41,8 @@
     """
     kills: list[Command] = []
     for task in report.tasks:
-        split = parse_task_name(task.task)
-        job = jobs.get(split[0]) if split is not None else None
+        parsed_name = parse_task_name(task.task)
+        job = jobs.get(parsed_name[0]) if parsed_name is not None else None
         if task.phase != "exited" and (job is None or not job.open):
             kills.append(Command("kill", task.task, task.attempt, 0.0))
     return kills
@@ -70,15 +70,15 @@
     result = Evaluation()
     listed: set[AttemptKey] = set()
     for task in report.tasks:
-        split = parse_task_name(task.task)
-        if split is None:
+        parsed_name = parse_task_name(task.task)
+        if parsed_name is None:
             continue
-        key = (*split, task.attempt)
+        key = (*parsed_name, task.attempt)
         listed.add(key)
         attempt = attempts.get(key)
         if task.phase == "exited":
             if attempt is not None:
-                kind = _FATES.get(task.cause or "", "refused")
+                kind = _OUTCOME_BY_CAUSE.get(task.cause or "", "refused")
                 result.outcomes.append(Outcome(task.task, task.attempt, machine.name, kind))
             elif not machine.may_still_start((task.task, task.attempt), term):
                 # Reaped only once the record shows the outcome, and only if no start of ours
@@ -90,12 +90,12 @@
             # No record of it: nothing may count on it, and another attempt may be placed.
             result.commands.append(Command("kill", task.task, task.attempt, 0.0))
             continue
-        grace = stop_grace_s(*key)
-        if grace is None:
+        grace_s = stop_grace_s(*key)
+        if grace_s is None:
             continue
-        if task.phase == "saving" and grace > 0:
+        if task.phase == "saving" and grace_s > 0:
             continue
-        result.commands.append(Command("kill", task.task, task.attempt, grace))
+        result.commands.append(Command("kill", task.task, task.attempt, grace_s))
     for key, attempt in attempts.items():
         if key in listed:
             continue
--- a/mosswalk/fleet/report_intake.py
+++ b/mosswalk/fleet/report_intake.py
@@ -26,7 +26,7 @@
 log = logging.getLogger(__name__)
 
 # In these phases a task's image is on its machine.
-_HAS_IMAGE = ("running", "gathering")
+_PHASES_WITH_IMAGE = ("running", "gathering")
 
 
 class ReportListener(Protocol):
@@ -42,14 +42,14 @@
         """Return a machine."""
 
 
-def next_report_confirms(registry: JobRegistry, order: Command) -> bool:
+def next_report_confirms(registry: JobRegistry, command: Command) -> bool:
     """Whether a machine's next report tells if it has carried out an order.
 
     A gang's task that is being stopped may be reported as running until all of them exit.
     """
-    split = parse_task_name(order.task)
-    job = registry.jobs.get(split[0]) if split is not None else None
-    return order.op != "kill" or job is None or not job.is_gang
+    parsed_name = parse_task_name(command.task)
+    job = registry.jobs.get(parsed_name[0]) if parsed_name is not None else None
+    return command.op != "kill" or job is None or not job.is_gang
 
 
 class ReportIntake:
@@ -83,16 +83,16 @@
         # The epoch with which we began to lead: machines that have seen it hear us.
         self._first_term = 0
         # Since when workers have been finding their way to us.
-        self._since_us = 0
+        self._reconnecting_since_us = 0
 
-    def start_leading(self, first_epoch: int) -> None:
+    def start_leading(self, first_term: int) -> None:
         """This controller begins to lead."""
-        self._first_term = first_epoch
+        self._first_term = first_term
         self.restart_after_pause()
 
     def restart_after_pause(self) -> None:
         """This controller stood still: workers may have turned to others meanwhile."""
-        self._since_us = self._clock.now_us()
+        self._reconnecting_since_us = self._clock.now_us()
 
     def process(self, report: Report, *, is_periodic: bool) -> list[Command]:
         """Take a report, or the answer to /orders; the orders for the answer to a report."""
@@ -114,7 +114,7 @@
         if not machine.is_new_report(report):
             # A late report: what it lists is as old as it is.
             return []
-        before = self._standing(machine)
+        before = self._usability_state(machine)
         if is_periodic:
             machine.check_answer_received(report, now_us, self._lease_us)
         else:
@@ -123,7 +123,7 @@
         machine.session, machine.sequence = report.session, report.sequence
         machine.term = max(machine.term, report.term)
         if report.term >= self._first_term:
-            self._heard_from(machine, report, in_answer=is_periodic)
+            self._record_contact(machine, report, is_periodic=is_periodic)
         elif machine.phase != "up" and is_periodic and machine.probed_at_us is None:
             # Just up, as it seems: let it see our epoch at once, and it can be used at once.
             self._command_sender.probe(machine)
@@ -134,7 +134,7 @@
             self._registry.attempts_on(machine.name),
             self._leadership.term_number(),
             lambda job_id, index, number: self._stops.grace_s(machine, (job_id, index, number)),
-            self._startable,
+            self._is_startable,
             may_start=self._leadership.may_start_tasks(),
             is_periodic=is_periodic,
         )
@@ -144,26 +144,26 @@
             self._outcome_sender.add_reported(outcome)
         if outcomes:
             self._outcome_sender.send_new()
-        if changed or before != self._standing(machine):
+        if changed or before != self._usability_state(machine):
             # Most reports tell nothing new: room and plans are worked out for the others only.
             self._offers.mark_changed(machine.name)
             self._listener.fleet_changed()
-        for order in evaluation.commands:
-            log.debug("order to %s: %s", machine.name, order)
+        for command in evaluation.commands:
+            log.debug("order to %s: %s", machine.name, command)
         if is_periodic:
-            shown = tuple(
-                order
-                for order in evaluation.commands
-                if next_report_confirms(self._registry, order)
+            confirmable = tuple(
+                command
+                for command in evaluation.commands
+                if next_report_confirms(self._registry, command)
             )
-            machine.record_answer(self._leadership.term_number(), shown, now_us)
+            machine.record_answer(self._leadership.term_number(), confirmable, now_us)
         return evaluation.commands
 
-    def _startable(self, job_id: str) -> bool:
+    def _is_startable(self, job_id: str) -> bool:
         job = self._registry.jobs.get(job_id)
         return job is not None and job.startable
 
-    def _standing(self, machine: Machine) -> tuple[object, ...]:
+    def _usability_state(self, machine: Machine) -> tuple[object, ...]:
         """All that a report can change of whether and how a machine is used, besides its tasks."""
         return (
             machine.session,
@@ -177,7 +177,7 @@
             self._offers.is_silent(machine),
         )
 
-    def _heard_from(self, machine: Machine, report: Report, *, in_answer: bool) -> None:
+    def _record_contact(self, machine: Machine, report: Report, *, is_periodic: bool) -> None:
         """A machine has reported under an epoch of ours, so it is there and hears us."""
         now_us = self._clock.now_us()
         machine.has_acknowledged_leader = True
@@ -187,7 +187,7 @@
         if machine.known_from_record_only:
             machine.known_from_record_only = False
             machine.type, machine.zone, machine.spot = report.type, report.zone, report.spot
-        if in_answer or now_us - self._since_us < self._lease_us:
+        if is_periodic or now_us - self._reconnecting_since_us < self._lease_us:
             # Answers to /orders do not renew its lease: a machine whose reports do not reach us
             # is well only as long as it may still be on its way from the leader before us.
             machine.last_seen_at_us = now_us
@@ -198,22 +198,22 @@
         if machine.spot_notice_until_us is not None and not had_notice:
             log.info("machine %s: notice of %.1f s", machine.name, report.spot_notice_s)
         if report.tasks != machine.reported_tasks:
-            self._learn(machine, report)
+            self._record_task_changes(machine, report)
 
-    def _learn(self, machine: Machine, report: Report) -> None:
+    def _record_task_changes(self, machine: Machine, report: Report) -> None:
         """What new exits tell of the machine, and running tasks of its cached images."""
-        shape = self._inventory.types.get(machine.type)
+        machine_type = self._inventory.types.get(machine.type)
         for task in report.tasks:
             before = machine.tasks.get((task.task, task.attempt))
             if before is not None and before.phase == task.phase:
                 continue
-            split = parse_task_name(task.task)
-            job = self._registry.jobs.get(split[0]) if split is not None else None
-            if task.phase in _HAS_IMAGE and job is not None and shape is not None:
-                machine.record_image_use(job.spec.image, job.spec.image_gb, shape.cache_gb)
-            if task.phase != "exited" or split is None:
+            parsed_name = parse_task_name(task.task)
+            job = self._registry.jobs.get(parsed_name[0]) if parsed_name is not None else None
+            if task.phase in _PHASES_WITH_IMAGE and job is not None and machine_type is not None:
+                machine.record_image_use(job.spec.image, job.spec.image_gb, machine_type.cache_gb)
+            if task.phase != "exited" or parsed_name is None:
                 continue
-            self._failures.record_exit(machine, split[0], task)
+            self._failures.record_exit(machine, parsed_name[0], task)
         if self._failures.is_unhealthy(machine) and not machine.unhealthy:
             machine.unhealthy = True
             self._listener.release(machine, "fails its tasks")
--- a/mosswalk/fleet/silence.py
+++ b/mosswalk/fleet/silence.py
@@ -1,6 +1,7 @@
-"""Which silent machines to release: a pure decision.
+"""Decides which silent machines to release.
 
-Releasing is the proof that a machine's tasks are gone, but it also ends tasks that were well.
+A confirmed release proves that the machine's tasks have terminated, but it also ends tasks that ran
+normally.
 """
 
 from __future__ import annotations
@@ -12,66 +13,71 @@
 
 
 class SilenceLimits(Struct, frozen=True):
-    """How long to wait, in microseconds."""
+    """How long machines may be silent, in microseconds."""
 
-    # More than one report has been missed.
+    # More than one report is missing.
     late_after_us: int
-    # A lone machine this silent is taken for dead.
+    # A machine silent for this long is presumed dead, unless many others in its zone are late too.
     silent_after_us: int
-    # Its lease has run out, and with it all its tasks.
+    # Added where many are late: by then the worker's lease has expired and its tasks have ended.
     lease_us: int
-    # The same where a controller may have kept its lease up after all others lost sight of it.
+    # Added instead where a controller that the others can't see may have renewed the lease.
     kept_alive_lease_us: int = 0
 
 
 def zones_with_many_late(
-    silences: Mapping[str, int], silence_limits: SilenceLimits, zone_of: Mapping[str, str]
+    silences: Mapping[str, int], silence_limits: SilenceLimits, zone_by_machine: Mapping[str, str]
 ) -> set[str]:
-    """Zones in which many machines are quiet at once.
+    """Zones in which the reports of many machines are late at the same time.
 
-    The trouble there is more likely a cut, or our own, than many dead machines. Quiet counts, not
-    silent: machines report at different moments, so a cut shows in a few at a time. Zone by zone,
-    since zones are what is cut off.
+    A network partition, or a fault of the leader, is more likely there than that many dead
+    machines. Late reports count, rather than silent machines, since machines report at different
+    times and a partition shows in a few of them at first. Zones are looked at one by one, since
+    partitions follow zone boundaries.
     """
-    there = Counter(zone_of[name] for name in silences)
-    quiet = Counter(
-        zone_of[n]
+    total = Counter(zone_by_machine[name] for name in silences)
+    late = Counter(
+        zone_by_machine[n]
         for n, silence_us in silences.items()
         if silence_us > silence_limits.late_after_us
     )
-    return {zone for zone, count in quiet.items() if count >= 3 and count * 3 > there[zone]}
+    return {zone for zone, count in late.items() if count >= 3 and count * 3 > total[zone]}
 
 
 def machines_to_release(
     silences: Mapping[str, int],
     silence_limits: SilenceLimits,
-    zone_of: Mapping[str, str],
-    quiet: Container[str],
-    cut_off: Container[str] = (),
+    zone_by_machine: Mapping[str, str],
+    late_zones: Container[str],
+    cut_off_zones: Container[str] = (),
 ) -> list[str]:
-    """Machines to release, by how long each has been silent.
+    """Machines to release, given how long each has been silent.
 
-    Where many are ``quiet``, their tasks may be well, so they are given until their leases have
-    ended anyway. Where no controller is seen either, one may have kept the leases up.
+    In ``late_zones`` many reports are late and tasks may still run normally, so machines are not
+    released before their leases have expired anyway. In ``cut_off_zones`` no controller can be
+    seen either, and one of them may have renewed the leases.
     """
 
     def limit_us(zone: str) -> int:
-        if zone not in quiet:
+        if zone not in late_zones:
             return silence_limits.silent_after_us
         return silence_limits.silent_after_us + (
-            silence_limits.kept_alive_lease_us if zone in cut_off else silence_limits.lease_us
+            silence_limits.kept_alive_lease_us if zone in cut_off_zones else silence_limits.lease_us
         )
 
-    return sorted(n for n, silence_us in silences.items() if silence_us > limit_us(zone_of[n]))
+    return sorted(
+        n for n, silence_us in silences.items() if silence_us > limit_us(zone_by_machine[n])
+    )
 
 
 def is_reclaimed(
-    silence_us: int, notice_until_us: int | None, now_us: int, silence_limits: SilenceLimits
+    silence_us: int, spot_notice_until_us: int | None, now_us: int, silence_limits: SilenceLimits
 ) -> bool:
-    """Whether the cloud has taken a machine back, as it gave notice of.
+    """Whether the cloud has reclaimed a spot machine after its notice.
 
-    Its time is known, so one missed report after it is enough: in a wave, waiting for each one's
-    full silence keeps all that was lost from starting elsewhere.
+    The end of the notice is known, so one missing report after it is proof enough. When many
+    machines are reclaimed together, waiting for the full silence of each would delay the restart
+    of all their tasks elsewhere.
     """
-    over = notice_until_us is not None and now_us > notice_until_us
-    return over and silence_us > silence_limits.late_after_us // 2
+    notice_expired = spot_notice_until_us is not None and now_us > spot_notice_until_us
+    return notice_expired and silence_us > silence_limits.late_after_us // 2
--- a/mosswalk/fleet/stopping.py
+++ b/mosswalk/fleet/stopping.py
@@ -19,12 +19,12 @@
 from mosswalk.wire.workers import Command
 
 # A task that has not saved by then, beyond its grace period, is ended.
-_OVERDUE_US = 5 * SECOND_US
-_OVERDUE_GRACE_PARTS = 1.5
+_KILL_MARGIN_US = 5 * SECOND_US
+_KILL_GRACE_FACTOR = 1.5
 
 
 class _Stop(Struct):
-    since_us: int
+    requested_at_us: int
     grace_s: float
 
 
@@ -36,14 +36,14 @@
         settings: Settings,
         inventory: Inventory,
         registry: JobRegistry,
-        push: Callable[[Machine, Command], None],
-        quiet: Callable[[Machine], bool],
+        send_command: Callable[[Machine, Command], None],
+        is_silent: Callable[[Machine], bool],
         clock: Clock,
     ) -> None:
         self._inventory = inventory
         self._registry = registry
-        self._push = push
-        self._quiet = quiet
+        self._send_command = send_command
+        self._is_silent = is_silent
         self._clock = clock
         self._gang_peer_us = to_us(settings.params.workers.gang_peer_s)
         self._stops: dict[AttemptKey, _Stop] = {}
@@ -67,14 +67,16 @@
             return 0.0
         stop = self._stops.get(key)
         if stop is not None:
-            overdue_us = to_us(stop.grace_s * _OVERDUE_GRACE_PARTS) + _OVERDUE_US
+            kill_after_us = to_us(stop.grace_s * _KILL_GRACE_FACTOR) + _KILL_MARGIN_US
             if job.is_gang:
-                overdue_us += self._gang_peer_us
-            return 0.0 if self._clock.now_us() - stop.since_us > overdue_us else stop.grace_s
+                kill_after_us += self._gang_peer_us
+            return (
+                0.0 if self._clock.now_us() - stop.requested_at_us > kill_after_us else stop.grace_s
+            )
         if job.gang_ending:
             return 0.0
-        noticed = machine.spot_notice_until_us is not None
-        if noticed and job.spec.checkpoint_interval_s > 0 and not job.is_gang:
+        has_spot_notice = machine.spot_notice_until_us is not None
+        if has_spot_notice and job.spec.checkpoint_interval_s > 0 and not job.is_gang:
             # The machine is about to be taken: save what can be saved.
             return job.spec.checkpoint_duration_s
         return None
@@ -92,7 +94,7 @@
         name = task_name(job.id, attempt.task)
         reported = machine.tasks.get((name, attempt.number))
         if reported is None or reported.phase != "exited":
-            self._push(machine, Command("kill", name, attempt.number, grace_s))
+            self._send_command(machine, Command("kill", name, attempt.number, grace_s))
 
     def kill_withdrawn(self, job: Job) -> None:
         """A job is withdrawn: end its tasks without waiting for the machines' next reports."""
@@ -108,13 +110,13 @@
     def gangs_to_checkpoint(self) -> Iterator[Job]:
         """Gangs that are to save since one of their machines is about to be taken."""
         for job in self._registry.gangs.values():
-            if job.startable and job.spec.checkpoint_interval_s > 0 and self._can_save(job):
+            if job.startable and job.spec.checkpoint_interval_s > 0 and self._can_checkpoint(job):
                 yield job
 
-    def _can_save(self, job: Job) -> bool:
+    def _can_checkpoint(self, job: Job) -> bool:
         """Whether a machine of the gang is under notice, and all can be told while it lasts."""
         now_us = self._clock.now_us()
-        noticed = False
+        has_spot_notice = False
         for attempt in job.live_attempts():
             if (job.id, attempt.task, attempt.number) in self._stops:
                 return False
@@ -122,14 +124,14 @@
             if (
                 machine is None
                 or machine.not_receiving_since_us is not None
-                or self._quiet(machine)
+                or self._is_silent(machine)
             ):
                 return False
             if machine.spot_notice_until_us is not None:
                 if machine.spot_notice_until_us - now_us < to_us(job.spec.checkpoint_duration_s):
                     return False
-                noticed = True
-        return noticed
+                has_spot_notice = True
+        return has_spot_notice
 
     def stop_gang(self, job: Job) -> None:
         """Have a gang save and stop: all its tasks are told at once."""
--- a/mosswalk/fleet/withdrawing.py
+++ b/mosswalk/fleet/withdrawing.py
@@ -1,4 +1,4 @@
-"""Machines that may hold the tasks of withdrawn jobs for too long: they are released in time."""
+"""Finds machines that may run tasks of withdrawn jobs for too long, to be released in time."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from mosswalk.jobs.state import task_name
 from mosswalk.leadership.actor import Leadership
 
-# Machines tell a new leader by then whether withdrawn tasks are still there.
-_HEAR_US = 4 * SECOND_US
+# By then machines have reported to a new leader whether withdrawn tasks still run.
+_REPORT_WAIT_US = 4 * SECOND_US
 
 
 class WithdrawnTasks:
-    """Finds machines that have not shown in time that withdrawn tasks are gone."""
+    """Finds machines that have not reported in time that withdrawn tasks have terminated."""
 
     def __init__(
         self,
@@ -32,16 +32,20 @@
         self._silence_limits = silence_limits
         self._clock = clock
 
-    def overdue(self, since_us: int) -> Iterator[tuple[Machine, str]]:
-        """Machines to release since withdrawn tasks may still be there, and why.
+    def overdue(self, answering_since_us: int) -> Iterator[tuple[Machine, str]]:
+        """Machines to release because withdrawn tasks may still run there, with the reason.
 
-        Silence alone is no measure: it is counted anew by each leader, and many machines that are
-        silent together are given longer. This counts from the withdrawal, whoever led meanwhile,
-        for as long as a silent machine is given that may only be cut off. Its lease has ended by
-        then if it runs at all; one that hangs keeps its tasks. ``cancel_s`` leaves time for the
-        cloud to be down.
+        The limit for silent machines is not enough: each leader counts silence anew, and a longer
+        limit applies where many machines are silent together. This limit counts from the
+        withdrawal, no matter which controllers have led since, and is as long as the one for a
+        silent machine that may only be partitioned. By then the lease of a worker that still runs
+        has expired, whereas a worker that hangs keeps its tasks. ``cancel_s`` leaves time for an
+        outage of the cloud.
         """
-        if not self._registry.withdrawn or self._clock.now_us() - since_us < _HEAR_US:
+        if (
+            not self._registry.withdrawn
+            or self._clock.now_us() - answering_since_us < _REPORT_WAIT_US
+        ):
             return
         limit_us = self._silence_limits.silent_after_us + self._silence_limits.lease_us
         for job in list(self._registry.withdrawn.values()):
@@ -51,23 +55,23 @@
             for attempt in job.live_attempts():
                 machine = self._inventory.machines.get(attempt.machine)
                 key = (job.id, attempt.task, attempt.number)
-                if machine is not None and not self._gone(machine, key):
-                    what = f"{task_name(job.id, attempt.task)} was withdrawn"
-                    yield machine, f"{what} {age_us / SECOND_US:.1f} s ago"
+                if machine is not None and not self._is_shown_terminated(machine, key):
+                    reason = f"{task_name(job.id, attempt.task)} was withdrawn"
+                    yield machine, f"{reason} {age_us / SECOND_US:.1f} s ago"
 
-    def _gone(self, machine: Machine, key: AttemptKey) -> bool:
-        """Whether a machine that is heard of has shown that an attempt is not there.
+    def _is_shown_terminated(self, machine: Machine, key: AttemptKey) -> bool:
+        """Whether a machine that reports has shown that an attempt has terminated.
 
-        The records may show it much later: writes are scarce.
+        The records may show it much later, since writes are limited.
         """
         start = (task_name(key[0], key[1]), key[2])
         reported = machine.tasks.get(start)
         if reported is not None:
             return reported.phase == "exited"
-        epoch = self._leadership.term_number()
-        heard = (
+        term = self._leadership.term_number()
+        is_reporting = (
             machine.has_acknowledged_leader
             and self._clock.now_us() - machine.last_seen_at_us
             < self._silence_limits.silent_after_us
         )
-        return heard and machine.term >= epoch and not machine.may_still_start(start, epoch)
+        return is_reporting and machine.term >= term and not machine.may_still_start(start, term)
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -38,11 +38,11 @@
             for i in range(count):
                 name = f"vm-{i:06d}"
                 inventory.machines.setdefault(name, Machine(name, "small", "a", False, "up", 0, 0))
-            kept = sum(pushes._may_keep(name) for name in inventory.machines)
+            kept = sum(pushes._may_keep_alive(name) for name in inventory.machines)
             assert kept == min(count, max(0, budget.workers - count))
         for name in list(inventory.machines)[200:]:
             inventory.remove(name, 0)
             pushes.remove_machine(name)
-        assert all(pushes._may_keep(name) for name in inventory.machines)
+        assert all(pushes._may_keep_alive(name) for name in inventory.machines)
 
     asyncio.run(run())
