--- a/mosswalk/fleet/command_sender.py
+++ b/mosswalk/fleet/command_sender.py
@@ -1,4 +1,4 @@
-"""Orders sent straight to workers, so that a start need not wait for the next report."""
+"""Sends commands to workers directly, so that they take effect before the next report."""
 
 from __future__ import annotations
 
@@ -20,22 +20,23 @@
 
 log = logging.getLogger(__name__)
 
-# Orders for one machine that are decided together go in one message.
+# Commands for a machine that are issued within this time are sent in one request.
 _BATCH_DELAY_S = 0.01
 _REQUEST_TIMEOUT_S = 3.0
+_CONNECT_TIMEOUT_S = 1.5
 _CLOSE_CONNECTION = {"Connection": "close"}
 
 
 class _PendingRequest(Struct):
     commands: list[Command] = field(default_factory=list)
     in_flight: bool = False
-    # Send even if there is nothing to order: the answer tells that the machine hears us.
+    # Send even without commands: an answer shows that the worker can be reached.
     probe: bool = False
     scheduled: bool = False
 
 
 class CommandSender:
-    """One message a machine under way at most; the leader's actor is told each one's end."""
+    """Sends at most one request at a time to each machine, and reports the end of each."""
 
     def __init__(
         self,
@@ -58,52 +59,52 @@
         self._spawn = spawn
         self._clock = clock
         self._pending: dict[str, _PendingRequest] = {}
-        # Sockets for all that has to do with workers, and the machines to which a connection may
-        # stay open: each machine holds one to us for its reports anyway.
+        # Sockets for all connections with workers, and the machines to which a connection may stay
+        # open. Each machine takes one more socket for its reports anyway.
         self._worker_sockets = worker_sockets
         self._keep_alive: set[str] = set()
         self._shortage_logged = False
 
     def reset(self) -> None:
-        """Forget all: another controller leads."""
+        """Discard all state when another controller leads."""
         self._pending.clear()
         self._keep_alive.clear()
 
     def remove_machine(self, name: str) -> None:
-        """A machine is gone."""
+        """Discard the state of a machine that is gone."""
         self._pending.pop(name, None)
         self._keep_alive.discard(name)
 
     def request_ended(self, name: str) -> None:
-        """The message under way has ended, answered or not."""
+        """Note that the request in flight has ended, and send what is pending."""
         pending = self._pending.get(name)
         if pending is not None:
             pending.in_flight = False
             self._schedule(name, pending)
 
     def send(self, machine: Machine, command: Command) -> None:
-        """Send an order soon."""
+        """Queue a command, to be sent together with others for the machine."""
         pending = self._pending.setdefault(machine.name, _PendingRequest())
         pending.commands.append(command)
         self._schedule(machine.name, pending)
 
     def probe(self, machine: Machine) -> None:
-        """Have a machine see our epoch and say how it is, without waiting for its report."""
+        """Request a machine's state and show it the term, without waiting for its next report."""
         pending = self._pending.setdefault(machine.name, _PendingRequest())
         pending.probe = True
         machine.probed_at_us = self._clock.now_us()
         self._schedule(machine.name, pending)
 
     def _may_keep_alive(self, name: str) -> bool:
-        """Whether the connection to a machine may stay open for the next order.
+        """Whether the connection to a machine may stay open for further commands.
 
-        Else a fleet of many machines would take two sockets each, and users be refused.
+        If all did, a large fleet would take two sockets a machine, and users would be refused.
         """
         spare = self._worker_sockets - len(self._inventory.machines)
         if spare < 0 and not self._shortage_logged:
             self._shortage_logged = True
             log.info(
-                "%d machines, but sockets for the reports of %d: raise max_connections",
+                "%d machines, but sockets for the reports of only %d: raise max_connections",
                 len(self._inventory.machines),
                 self._worker_sockets,
             )
@@ -139,11 +140,11 @@
         for command in commands:
             parsed_name = parse_task_name(command.task)
             key = (*parsed_name, command.attempt) if parsed_name is not None else None
-            # The job may have been withdrawn, or the attempt settled, since it was queued.
+            # Since the command was queued, the job may have been withdrawn or the attempt ended.
             if command.op == "run" and (
                 not may_start
-                # One copy under way is enough: an answer to the second would not tell that the
-                # first can't be carried out any more.
+                # Not sent twice: an answer to the second copy would not prove that the first can't
+                # be executed any more.
                 or (command.task, command.attempt) in machine.unanswered_starts
                 or key not in attempts
                 or attempts[key].session != machine.session
@@ -154,10 +155,10 @@
         if not to_send and not probe:
             return
         pending.in_flight = True
-        starts = tuple((o.task, o.attempt) for o in to_send if o.op == "run")
+        starts = tuple((c.task, c.attempt) for c in to_send if c.op == "run")
         term = self._leadership.term_number()
         for start in starts:
-            # Until it is answered it may be carried out at any later time.
+            # Until it is answered, the start may be executed at any later time.
             machine.unanswered_starts[start] = (term, machine.session)
         message = DirectCommands(term, machine.session, tuple(to_send))
         self._spawn(self._post(machine.name, machine.address, message, starts))
@@ -172,7 +173,9 @@
                 f"http://{address}/orders",
                 data=msgspec.json.encode(message),
                 headers=None if self._may_keep_alive(name) else _CLOSE_CONNECTION,
-                timeout=aiohttp.ClientTimeout(total=_REQUEST_TIMEOUT_S, sock_connect=1.5),
+                timeout=aiohttp.ClientTimeout(
+                    total=_REQUEST_TIMEOUT_S, sock_connect=_CONNECT_TIMEOUT_S
+                ),
             ) as response:
                 body = await response.read()
                 if response.status in (200, 409):
@@ -180,10 +183,10 @@
                 else:
                     log.error("worker %s: /orders answered %d", name, response.status)
         except aiohttp.ClientConnectorError:
-            # A connection attempt that was given up does not complete afterwards.
+            # An aborted connection attempt can't succeed later, so nothing was sent.
             sent = False
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
-            log.debug("orders to %s: no answer: %r", name, error)
+            log.debug("commands to %s: no answer: %r", name, error)
         except msgspec.DecodeError as error:
-            log.error("worker %s: malformed answer to /orders dropped: %s", name, error)
+            log.error("worker %s: discarding malformed answer to /orders: %s", name, error)
         self._on_done(DirectCommandsDone(name, message.term, message.session, starts, sent, report))
--- a/mosswalk/fleet/inventory.py
+++ b/mosswalk/fleet/inventory.py
@@ -1,4 +1,4 @@
-"""The machine inventory: what the leader knows of every machine."""
+"""The machine inventory: the state of each machine as the leader knows it."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 TaskKey = tuple[str, int]
 
-# Names of machines that are gone are kept this long, so that neither the lagging list nor a late
-# copy of a report brings them back; and this many of them however old they are.
+# How long the names of gone machines are retained, so that neither the lagging machine list nor a
+# late copy of a report adds them again. The newest ones are retained however old they are.
 _GONE_RETENTION_US = 600 * SECOND_US
 _MIN_RETAINED_GONE = 5000
 
 
 class Machine(Struct):
-    """One machine, from its rental until the cloud has confirmed its return."""
+    """One machine, from its rental until the cloud has confirmed its release."""
 
     name: str
     type: str
@@ -31,44 +31,50 @@
     phase_since_us: int
     rented_at_us: int
     address: str | None = None
+    # The rental group in which it was requested, until it is up.
     group: int | None = None
+    # Why it is being released, if it is.
     releasing: str | None = None
-    # Known only because a record names it: nothing else has been heard of it.
+    # Whether it is known only because a record names it.
     known_from_record_only: bool = False
     last_seen_at_us: int = 0
+    # Session and sequence number of its newest report, and the highest term it has reported.
     session: int = 0
     sequence: int = -1
     term: int = 0
-    # Whether it has reported under an epoch of ours. An earlier report may be a late copy, even
-    # of a machine long gone, and tells nothing of what is there now.
+    # Whether it has reported in a term of this leader. A report of an earlier term may be a late
+    # copy, even from a machine long gone, and shows nothing of the present state.
     has_acknowledged_leader: bool = False
-    # What our last answer to a report told it, and when: its next report shows whether it heard.
+    # The last answer to one of its reports; the next report shows whether the worker received it.
     last_answer_term: int = 0
     last_answer_commands: tuple[Command, ...] = ()
     last_answer_at_us: int = 0
     not_receiving_since_us: int | None = None
-    # Only an answer to /orders shows that it hears.
+    # Whether only an answer to /orders can show that it receives commands.
     needs_direct_answer: bool = False
     probed_at_us: int | None = None
     spot_notice_until_us: int | None = None
-    # What its newest report lists, as it came and by attempt.
+    # The tasks in its newest report, as received and by attempt.
     reported_tasks: tuple[TaskReport, ...] = ()
     tasks: dict[TaskKey, TaskReport] = field(default_factory=dict)
-    # Those of them that have exited: room is worked out far more often than they change.
+    # Those of them that have exited, cached because free capacity is computed far more often than
+    # they change.
     exited_tasks: frozenset[TaskKey] = frozenset()
+    # Sizes in GB, the least recently used image first.
     cached_images: OrderedDict[str, float] = field(default_factory=OrderedDict)
     consecutive_errors: int = 0
     unhealthy: bool = False
     idle_since_us: int | None = None
-    # What the attempts placed on it take, in thousandths, and whether a replica is among them.
+    # CPUs and GB of memory used by the attempts placed on it, in thousandths, and whether one of
+    # them is a replica.
     used_cpus: int = 0
     used_memory: int = 0
     has_replica: bool = False
-    # Starts sent to /orders whose answer never came, with the epoch and tenure they carried.
+    # Starts sent to /orders that were not answered, with the term and session of the request.
     unanswered_starts: dict[TaskKey, tuple[int, int]] = field(default_factory=dict)
 
     def utilization(self, machine_type: MachineType) -> float:
-        """The used part of its scarcer amount."""
+        """The used fraction of CPUs or memory, whichever is higher."""
         return max(
             self.used_cpus / max(1, milli_ceil(machine_type.cpus)),
             self.used_memory / max(1, milli_ceil(machine_type.memory_gb)),
@@ -79,7 +85,7 @@
         return (report.session, report.sequence) > (self.session, self.sequence)
 
     def update_tasks(self, reported_tasks: tuple[TaskReport, ...]) -> bool:
-        """Take over what a report lists; whether that is anything new."""
+        """Store the tasks that a report lists; return whether they differ from those before."""
         if reported_tasks == self.reported_tasks:
             return False
         self.reported_tasks = reported_tasks
@@ -91,7 +97,7 @@
         return True
 
     def record_answer(self, term: int, commands: tuple[Command, ...], now_us: int) -> None:
-        """Our answer to a report is on its way."""
+        """Record the answer that is sent to a report."""
         self.last_answer_term, self.last_answer_commands, self.last_answer_at_us = (
             term,
             commands,
@@ -99,10 +105,10 @@
         )
 
     def check_answer_received(self, report: Report, now_us: int, lease_us: int) -> None:
-        """See by its next report whether our last answer reached it.
+        """Check by a new report whether the worker received the last answer.
 
-        Reports of a machine that nothing reaches are no sign of health. A worker has one report
-        under way at a time, so it has carried out the answer to the one before, or lost it.
+        A machine that reports but receives nothing is not healthy. A worker has one report in
+        flight at a time, so it has executed the answer to the previous one, or lost it.
         """
         is_new_session = report.session > self.session
         if (
@@ -112,7 +118,8 @@
             and self.last_answer_at_us > 0
             and now_us - self.last_answer_at_us < lease_us * 6 // 10
         ):
-            # Its lease ran out although we answered in time. It may have been restarted, too.
+            # Its lease expired although the last report was answered well in time, so it may not
+            # receive answers. It may also have been restarted.
             self.needs_direct_answer = True
         received = report.term >= self.last_answer_term and (
             is_new_session
@@ -124,25 +131,25 @@
             self.not_receiving_since_us = now_us
 
     def record_direct_answer(self) -> None:
-        """It has answered /orders, so it hears."""
+        """Note that it has answered /orders, so it receives commands."""
         self.needs_direct_answer = False
         self.not_receiving_since_us = None
 
     def record_image_use(self, image: str, image_gb: float, cache_gb: float) -> None:
-        """An image was fetched or used: remember it as the worker's cache would."""
+        """Record the use of an image, evicting others as the cache of the worker does."""
         self.cached_images[image] = image_gb
         self.cached_images.move_to_end(image)
         while len(self.cached_images) > 1 and sum(self.cached_images.values()) > cache_gb:
             self.cached_images.popitem(last=False)
 
     def may_still_start(self, key: TaskKey, term: int) -> bool:
-        """Whether an unanswered start could still be carried out."""
+        """Whether the worker may still execute an unanswered start."""
         sent = self.unanswered_starts.get(key)
         return sent is not None and sent[0] >= max(term, self.term) and sent[1] == self.session
 
 
 def report_shows_execution(command: Command, report: Report) -> bool:
-    """Whether a report shows that an order has been carried out."""
+    """Whether a report shows that a command has been executed."""
     found = next(
         (t for t in report.tasks if t.task == command.task and t.attempt == command.attempt), None
     )
@@ -154,12 +161,12 @@
 
 
 class Inventory:
-    """Machines by name, and the names of those that are gone."""
+    """All machines by name, machine types, and the names of gone machines."""
 
     def __init__(self) -> None:
         self.machines: dict[str, Machine] = {}
         self.types: dict[str, MachineType] = {}
-        # With when the cloud confirmed it, the oldest first.
+        # When the cloud confirmed each release, the oldest first.
         self._gone_at_us: OrderedDict[str, int] = OrderedDict()
 
     def is_gone(self, name: str) -> bool:
@@ -167,7 +174,7 @@
         return name in self._gone_at_us
 
     def remove(self, name: str, now_us: int) -> Machine | None:
-        """The cloud has confirmed the return."""
+        """Remove a machine whose release the cloud has confirmed."""
         self._gone_at_us[name] = now_us
         self._gone_at_us.move_to_end(name)
         while len(self._gone_at_us) > _MIN_RETAINED_GONE:
@@ -193,14 +200,14 @@
         return machine
 
     def add_from_record(self, name: str, now_us: int) -> None:
-        """A record names a machine that nothing else has told of."""
+        """Add a machine that a record names, unless it is known or gone."""
         if not self.is_gone(name) and name not in self.machines:
             self.adopt(name, "", "", False, "up", now_us).known_from_record_only = True
 
     def zones_by_machine(self) -> dict[str, str]:
-        """The zones of all machines that are more than a rumour."""
+        """The zones of all machines except those known from a record only."""
         return {m.name: m.zone for m in self.machines.values() if not m.known_from_record_only}
 
     def reset(self) -> None:
-        """Forget machines: another controller led meanwhile."""
+        """Discard the machines when another controller leads."""
         self.machines.clear()
--- a/mosswalk/fleet/manager.py
+++ b/mosswalk/fleet/manager.py
@@ -1,7 +1,7 @@
-"""The leader's actor: takes reports, sends orders, keeps the machine inventory, offers room.
+"""The fleet manager: the leader's actor for machines, reports, commands and offers.
 
-Only while this controller leads does it hold anything; whatever must outlive it is in the job
-records, and the rest is learnt again from reports and from the machine list.
+It holds state only while this controller leads. State that must survive a change of the leader is
+in the job records, and the next leader learns the rest from reports and the machine list.
 """
 
 from __future__ import annotations
@@ -65,33 +65,40 @@
 log = logging.getLogger(__name__)
 
 _MIN_PLAN_INTERVAL_US = 50_000
-# A plan is followed by a pause this many times as long, so that reports and health checks,
-# which wait for nothing else, get most of the processor's time however long plans take.
+# Planning is followed by a pause this many times as long, so that reports and health checks get
+# most of the processor's time however long planning takes.
 _PLAN_PAUSE_FACTOR = 4
 _TICK_INTERVAL_US = 500_000
+# A tick later than this shows that the process was suspended.
 _STALL_LIMIT_US = 2 * SECOND_US
 _MIN_LIST_INTERVAL_US = 4 * SECOND_US
-# The machine list of a large fleet has many pages: reading it again and again takes no more than
-# this part of the cloud's calls.
+# The machine list of a large fleet has many pages: reading it takes no more than this fraction of
+# the cloud's call rate.
 _MAX_LIST_CALL_FRACTION = 0.25
 _MACHINE_TYPES_INTERVAL_US = 60 * SECOND_US
+# Applies until the cloud has answered for the first time.
+_MACHINE_TYPES_RETRY_US = 2 * SECOND_US
+# Minimum time from the change of the leader to the first rental.
+_MIN_RENT_DELAY_US = 4 * SECOND_US
 _PREEMPTION_INTERVAL_US = 500_000
 _GANG_PREEMPTION_INTERVAL_US = 150_000
 _CONSOLIDATION_INTERVAL_US = SECOND_US
 _ORPHAN_CLEANUP_INTERVAL_US = 60 * SECOND_US
-# How long room freed by stopping attempts is kept for those it was freed for.
+# How long, beyond the grace period, capacity of stopped attempts is claimed for the preempting job.
 _CLAIM_DURATION_US = 4 * SECOND_US
+# A healthy machine reports within this many report intervals, allowing for jitter.
+_REPORT_JITTER_FACTOR = 1.3
 
 
 class OwnerClient(OutcomeClient, Protocol):
-    """How owners elsewhere are spoken to."""
+    """Client for the team owners on other controllers."""
 
     def offer(self, node: str, message: Offer) -> Awaitable[OfferAnswer]:
-        """Offer room."""
+        """Offer free capacity."""
 
 
 class FleetManager(Actor[Message]):
-    """Owns what the leader knows of the fleet; each part of its work is a module of its own."""
+    """Owns the leader's state of the fleet, and calls the modules that do the parts of its work."""
 
     name = "fleet manager"
 
@@ -138,11 +145,11 @@
         self.cloud: CloudCaller | None = None
         self._leading = False
         self._leading_since_us = 0
-        # Since when reports have been taken without a break: silence counts from then on only.
+        # Since when reports have been answered without a break; silence counts only from then on.
         self._answering_since_us = 0
         self._last_tick_at_us = 0
         self._list_received = False
-        # Whether the cloud has told us of machine types and their prices since we began to lead.
+        # Whether the cloud has sent machine types and prices since this controller began to lead.
         self._types_received = False
         self._is_first_leader = False
         self._list_requested_at_us = 0
@@ -201,8 +208,7 @@
             clock,
         )
         self.follower_reports = FollowerReports(workers, registry, leadership, clock)
-        # Within this time a machine that is well reports, give or take what reports vary by.
-        self._expected_report_us = to_us(1.3 * workers.report_s)
+        self._expected_report_us = to_us(_REPORT_JITTER_FACTOR * workers.report_s)
         registry.on_attempt_added.append(self._on_attempt_recorded)
         registry.on_withdrawn.append(self._on_job_withdrawn)
         registry.on_gang_ending.append(self._on_gang_ending)
@@ -241,16 +247,16 @@
                 pass
 
     async def ticker(self) -> None:
-        """Tick for ever."""
+        """Send a tick at each interval, forever."""
         while True:
             await asyncio.sleep(to_s(_TICK_INTERVAL_US))
             self.send(Tick())
 
     def answer_report(self, report: Report) -> tuple[int, bytes]:
-        """Answer a report: the status and the body.
+        """Answer a report; return the status and the body.
 
-        Not by the mailbox: no handler awaits, so none is half done when a report comes, and a
-        report need not wait behind all that others have told.
+        Reports don't go through the mailbox, so that they need not wait for the messages queued
+        there. This is safe since no handler awaits: none is half done when a report arrives.
         """
         self._check_leadership()
         self._leadership.observe_term(report.term)
@@ -261,7 +267,7 @@
         return 200, msgspec.json.encode(answer)
 
     def fleet_changed(self) -> None:
-        """Have a plan made soon."""
+        """Schedule the planning of offers."""
         if self._leading and not self._plan_scheduled:
             self._plan_scheduled = True
             interval_us = max(_MIN_PLAN_INTERVAL_US, self._plan_pause_us)
@@ -276,7 +282,7 @@
                 self._clock.now_us()
             )
             self._report_intake.start_leading(self._leadership.term_number())
-            # Nobody led before us, so nobody rented anything: no need to wait for the list.
+            # No controller led before, so nothing has been rented: no need to wait for the list.
             self._is_first_leader = self._leadership.term_number() <= 1
             self._list_received = self._types_received = False
             self._load_recorded_types()
@@ -287,7 +293,7 @@
             self._last_orphan_cleanup_at_us = -_ORPHAN_CLEANUP_INTERVAL_US
             self._tick()
         elif not leads and self._leading:
-            log.info("leading no more")
+            log.info("no longer leading")
             self._leading = False
             self.inventory.reset()
             self._scaler.reset()
@@ -300,10 +306,10 @@
             if self.cloud is not None:
                 self.cloud.clear_pending_releases()
 
-    # Reports and orders.
+    # Reports and commands.
 
     def is_unreachable_for_workers(self, reporting_elsewhere: int) -> bool:
-        """Whether the workers can't reach this leader, but turn to others."""
+        """Whether workers can't reach this leader and turn to other controllers."""
         now_us = self._clock.now_us()
         if not self._leading or now_us - self._answering_since_us < WORKER_RECONNECT_US:
             return False
@@ -312,7 +318,7 @@
         return leader_unreachable_for_workers(len(up), reporting_here, reporting_elsewhere)
 
     def machine_up(self, machine: Machine) -> None:
-        """Use a machine that has come up, and give back what its rent's copies hold."""
+        """Use a machine that has come up, and release surplus machines of its rental group."""
         took_us = self._clock.now_us() - machine.rented_at_us
         log.info(
             "machine %s (%s, %s) is up after %.1f s",
@@ -328,7 +334,7 @@
         return self.cloud.available_calls() if self.cloud is not None else 0
 
     def _on_attempt_recorded(self, name: str, job: Job, attempt: records.Attempt) -> None:
-        """A placing is committed: start it without waiting for the machine's next report."""
+        """Start a committed attempt without waiting for the machine's next report."""
         if not self._leading or not self._leadership.may_start_tasks() or not job.startable:
             return
         machine = self.inventory.machines.get(name)
@@ -361,7 +367,7 @@
             if self._leading:
                 self._report_intake.process(message.report, is_periodic=False)
 
-    # Room and offers.
+    # Offers.
 
     def _plan_offers(self) -> None:
         started_at_us = self._clock.now_us()
@@ -371,7 +377,7 @@
             self._scaler.has_blocked_gangs()
             and started_at_us - self._last_preemption_at_us > _GANG_PREEMPTION_INTERVAL_US
         ):
-            # They are to begin within seconds: not left for the next tick.
+            # Gangs are to start within seconds, so preemption does not wait for the next tick.
             self._last_preemption_at_us = started_at_us
             self._preempt_attempts(self._scaler.waiting_tasks())
         self._plan_pause_us = _PLAN_PAUSE_FACTOR * (self._clock.now_us() - started_at_us)
@@ -396,20 +402,25 @@
     def _tick(self) -> None:
         now_us = self._clock.now_us()
         if now_us - self._last_tick_at_us > _STALL_LIMIT_US:
-            # We were stopped ourselves, so others' silence tells nothing yet. Seen in a recorded
-            # day: a leader woke after 20 s and released every machine, deposed as it was.
-            log.info("was stopped for %.1f s", (now_us - self._last_tick_at_us) / SECOND_US)
+            # This process was suspended, so the silence of machines shows nothing yet. On a
+            # recorded day, a leader resumed after 20 s and, although deposed, released every
+            # machine.
+            log.info(
+                "process was suspended for %.1f s", (now_us - self._last_tick_at_us) / SECOND_US
+            )
             self._leading_since_us = self._answering_since_us = now_us
             self._report_intake.restart_after_pause()
         self._last_tick_at_us = now_us
         may_renew_leases = self._leadership.may_renew_worker_leases()
         if not may_renew_leases:
-            # We turn reports away ourselves. Seen on a recorded day: when the state service came
-            # back after 52 s, every machine was released as silent in that second.
+            # This controller itself rejects reports. On a recorded day, when the state service came
+            # back after 52 s, every machine was released as silent within that second.
             self._answering_since_us = now_us
         if self.cloud is None or not may_renew_leases:
             return
-        types_interval_us = _MACHINE_TYPES_INTERVAL_US if self._types_received else 2 * SECOND_US
+        types_interval_us = (
+            _MACHINE_TYPES_INTERVAL_US if self._types_received else _MACHINE_TYPES_RETRY_US
+        )
         if now_us - self._types_requested_at_us > types_interval_us:
             self._types_requested_at_us = now_us
             self.spawn(self.cloud.refresh_machine_types())
@@ -421,8 +432,8 @@
                 self.inventory.add_from_record(name, now_us)
         self._offers.mark_periodic_changes()
         self._stray_machines.probe(self._leading_since_us)
-        for machine, why in self._withdrawn_tasks.overdue(self._answering_since_us):
-            self.release(machine, why, requires_state_service=False)
+        for machine, reason in self._withdrawn_tasks.overdue(self._answering_since_us):
+            self.release(machine, reason, requires_state_service=False)
         self._release_overdue()
         self._outcome_sender.send_due()
         self._stale_starts.check()
@@ -432,7 +443,7 @@
         if now_us - self._last_orphan_cleanup_at_us > _ORPHAN_CLEANUP_INTERVAL_US:
             self._last_orphan_cleanup_at_us = now_us
             self.spawn(self._record_maintenance.remove_orphaned_chunks())
-        # Worked out once for all who ask: it walks all that waits, by each team's limit.
+        # Computed once for all uses below: it walks all waiting tasks, by the limits of each team.
         waiting = self._scaler.waiting_tasks()
         if now_us - self._last_preemption_at_us > _PREEMPTION_INTERVAL_US:
             self._last_preemption_at_us = now_us
@@ -457,7 +468,7 @@
         return max(_MIN_LIST_INTERVAL_US, to_us(pages / (_MAX_LIST_CALL_FRACTION * rps)))
 
     def _ready_to_rent(self) -> bool:
-        """Whether the inventory is complete: else machines not known here are rented again."""
+        """Whether the inventory is complete: machines missing from it would be rented again."""
         if (
             not self._list_received
             or not self._types_received
@@ -466,26 +477,33 @@
             return False
         if self._is_first_leader:
             return True
-        return self._clock.now_us() - self._leading_since_us > max(4 * SECOND_US, self._list_lag_us)
+        return self._clock.now_us() - self._leading_since_us > max(
+            _MIN_RENT_DELAY_US, self._list_lag_us
+        )
 
     def _release_overdue(self) -> None:
-        """Release machines that say nothing, but not while workers look for their new leader."""
+        """Release overdue machines, but not while workers may be reconnecting to a new leader."""
         now_us = self._clock.now_us()
         if (
             now_us - self._answering_since_us < WORKER_RECONNECT_US
             or not self._leadership.may_start_tasks()
         ):
             return
-        for machine, why in self._overdue_machines.overdue(self._answering_since_us):
-            self.release(machine, why)
+        for machine, reason in self._overdue_machines.overdue(self._answering_since_us):
+            self.release(machine, reason)
 
     # The cloud.
 
-    def release(self, machine: Machine, why: str, *, requires_state_service: bool = True) -> None:
-        """Return a machine; where not ``served``, though the state service is not heard."""
+    def release(
+        self, machine: Machine, reason: str, *, requires_state_service: bool = True
+    ) -> None:
+        """Release a machine.
+
+        With ``requires_state_service`` false, it is released even if the state service is down.
+        """
         if machine.releasing is None:
-            log.info("releasing %s (%s, %s): %s", machine.name, machine.type, machine.zone, why)
-            machine.releasing = why
+            log.info("releasing %s (%s, %s): %s", machine.name, machine.type, machine.zone, reason)
+            machine.releasing = reason
             self._offers.mark_changed(machine.name)
         elif requires_state_service:
             return
@@ -513,9 +531,9 @@
         self.fleet_changed()
 
     def _load_recorded_types(self) -> None:
-        """Take machine types from the records until the cloud tells them, with prices.
+        """Load machine types from the records, to be used until the cloud sends them with prices.
 
-        It may be down when the leader is replaced, and what is free can be used all the same.
+        The cloud may be down when the leader changes, and free capacity can be used all the same.
         """
         value = self._mirror.value(records.MACHINE_TYPES_KEY)
         if value is not None and not self.inventory.types:
@@ -532,13 +550,14 @@
 
     async def _write_machine_types(self, types: tuple[MachineType, ...]) -> None:
         if not await self._record_maintenance.write_machine_types(types):
-            # Until they are there, every submission is turned down.
+            # Requested again at the next tick: until the types are recorded, every submission is
+            # rejected.
             self._types_requested_at_us = -_MACHINE_TYPES_INTERVAL_US
 
     # Preemption and the factory.
 
     def _preempt_attempts(self, waiting: list[WaitingTasks]) -> None:
-        """Stop less urgent attempts for tasks that found no room."""
+        """Stop less urgent attempts to free capacity for waiting tasks."""
         if not self._leadership.may_start_tasks():
             return
         now_us = self._clock.now_us()
@@ -548,7 +567,7 @@
             claim_until_us = now_us + _CLAIM_DURATION_US + to_us(grace_s)
             self._offers.claim(attempt.machine, claim_until_us, victim.preempting_job)
             log.info(
-                "stopping %s/%d attempt %d on %s for more urgent work",
+                "preempting %s/%d attempt %d on %s for more urgent tasks",
                 spec.id,
                 attempt.task,
                 attempt.number,
@@ -557,7 +576,7 @@
             self._stops.stop(victim.job, attempt, grace_s)
 
     def _consolidate_replicas(self, waiting: list[WaitingTasks]) -> None:
-        """Move replicas together, while nothing waits for room."""
+        """Consolidate replicas while no tasks are waiting."""
         if waiting:
             return
         for job, attempt in self._consolidator.choose_replicas():
@@ -571,10 +590,12 @@
             self._stops.stop(job, attempt, 0.0)
 
     def _checkpoint_gangs(self) -> None:
-        """Stop gangs that would lose a machine to its notice, as long as all of them can save."""
+        """Stop gangs that are about to lose a spot machine while all their tasks can checkpoint."""
         for job in list(self._stops.gangs_to_checkpoint()):
             log.info(
-                "stopping %s, all %d tasks: a machine of it is to be taken", job.id, job.spec.tasks
+                "stopping %s, all %d tasks: a machine of it is about to be reclaimed",
+                job.id,
+                job.spec.tasks,
             )
             self._stops.stop_gang(job)
 
--- a/mosswalk/fleet/report_evaluation.py
+++ b/mosswalk/fleet/report_evaluation.py
@@ -1,4 +1,4 @@
-"""What a report means for the records, and what to order in answer: pure decisions."""
+"""Compares a report with the records: outcomes of attempts and commands for the worker."""
 
 from __future__ import annotations
 
@@ -13,6 +13,7 @@
 from mosswalk.wire.peers import Outcome, OutcomeKind
 from mosswalk.wire.workers import Command, Report
 
+# Outcome of an attempt by the cause of its exit; a cause not listed here means refused.
 _OUTCOME_BY_CAUSE: dict[str, OutcomeKind] = {
     "done": "done",
     "stopped": "stopped",
@@ -20,14 +21,14 @@
     "full": "refused",
     "in_use": "refused",
     "no_such": "refused",
-    # A gang's task that ended because of the others: not its machine's fault, nor its job's.
+    # A task of a gang that ended because of the others: no fault of its machine or job.
     "mates_gone": "stopped",
     "alone": "stopped",
 }
 
 
 class Evaluation(Struct):
-    """Orders for the worker, and outcomes for the records."""
+    """Commands for the worker, and outcomes for the records."""
 
     commands: list[Command] = field(default_factory=list)
     outcomes: list[Outcome] = field(default_factory=list)
@@ -35,9 +36,9 @@
 
 
 def kill_commands_for_closed_jobs(report: Report, jobs: Mapping[str, Job]) -> list[Command]:
-    """Orders to end all tasks of a report whose job is not known to be open.
+    """Commands to kill all tasks of a report whose job is not known to be open.
 
-    All that may be ordered by one that does not lead: ending such a task is right whoever leads.
+    These are the only commands that a follower may give: such tasks must end whoever leads.
     """
     kills: list[Command] = []
     for task in report.tasks:
@@ -61,11 +62,11 @@
 ) -> Evaluation:
     """Compare a report with the records.
 
-    ``stop_grace`` gives the grace with which an attempt is to be stopped, or None if it is to
-    run. ``startable`` tells whether a job's attempts may be started: not those of a gang that is
-    not recorded whole. ``in_answer`` is false for the answer to /orders: such a report may have
-    been made before the worker carried out our last answer to its own report, so what it does
-    not list may be about to start.
+    ``stop_grace_s`` returns the grace period of an attempt that is to be stopped, or None if it is
+    to run. ``is_startable`` tells whether the attempts of a job may be started, which is not so for
+    a gang that is only partly recorded. ``is_periodic`` is false for the answer to /orders: it may
+    have been made before the worker executed the commands in the answer to its last periodic
+    report, so tasks that it does not list may be about to start.
     """
     result = Evaluation()
     listed: set[AttemptKey] = set()
@@ -81,13 +82,13 @@
                 kind = _OUTCOME_BY_CAUSE.get(task.cause or "", "refused")
                 result.outcomes.append(Outcome(task.task, task.attempt, machine.name, kind))
             elif not machine.may_still_start((task.task, task.attempt), term):
-                # Reaped only once the record shows the outcome, and only if no start of ours
-                # is still on the way: the worker would know nothing and run it once more.
+                # Reaped only once the record shows the outcome, and only if no start command is
+                # in flight: the worker would not remember the attempt and would run it again.
                 result.commands.append(Command("reap", task.task, task.attempt))
             continue
         result.live_tasks += 1
         if attempt is None:
-            # No record of it: nothing may count on it, and another attempt may be placed.
+            # Without a record, nothing relies on it, and another attempt may be placed.
             result.commands.append(Command("kill", task.task, task.attempt, 0.0))
             continue
         grace_s = stop_grace_s(*key)
@@ -101,7 +102,7 @@
             continue
         name = task_name(key[0], key[1])
         if attempt.session < report.session:
-            # The session it was started in is over, and everything in it was killed.
+            # The worker has begun a new session, so all attempts of earlier ones were killed.
             result.outcomes.append(Outcome(name, key[2], machine.name, "lost"))
         elif attempt.session == report.session:
             if stop_grace_s(*key) is None:
@@ -112,7 +113,8 @@
                 and report.term >= term
                 and not machine.may_still_start((name, key[2]), term)
             ):
-                # Not there, no order of an earlier epoch can start it any more, ours came in
-                # answers that were carried out or dropped before this report was made.
+                # The task does not run and won't start. The worker rejects commands of earlier
+                # terms, and those of this term came in answers that it executed or lost before it
+                # made this report.
                 result.outcomes.append(Outcome(name, key[2], machine.name, "lost"))
     return result
--- a/mosswalk/fleet/report_intake.py
+++ b/mosswalk/fleet/report_intake.py
@@ -1,7 +1,8 @@
-"""Takes the workers' reports: what each tells of its machine and its tasks, and what to order.
+"""Processes the reports of workers while this controller leads.
 
-Only while this controller leads. A report counts by its order, its epoch and whether its machine
-hears us: docs/design.md, "What a report proves".
+A report updates the state of its machine and tasks and is answered with commands. What it proves
+depends on its sequence number, its term and on whether the machine receives the leader's answers:
+see docs/design.md, "What a report proves".
 """
 
 from __future__ import annotations
@@ -25,27 +26,27 @@
 
 log = logging.getLogger(__name__)
 
-# In these phases a task's image is on its machine.
+# In these phases the image of a task is on its machine.
 _PHASES_WITH_IMAGE = ("running", "gathering")
 
 
 class ReportListener(Protocol):
-    """Who acts on what reports tell."""
+    """Receives the changes that reports show."""
 
     def fleet_changed(self) -> None:
-        """A report has told something that a plan may be made of."""
+        """A report has changed something on which offers depend."""
 
     def machine_up(self, machine: Machine) -> None:
-        """A machine reports for the first time."""
+        """A machine has come up and reports to this leader."""
 
-    def release(self, machine: Machine, why: str) -> None:
-        """Return a machine."""
+    def release(self, machine: Machine, reason: str) -> None:
+        """Release a machine."""
 
 
 def next_report_confirms(registry: JobRegistry, command: Command) -> bool:
-    """Whether a machine's next report tells if it has carried out an order.
+    """Whether the next report of a machine shows if it has executed a command.
 
-    A gang's task that is being stopped may be reported as running until all of them exit.
+    A task of a gang that is being stopped may be reported as running until all of them exit.
     """
     parsed_name = parse_task_name(command.task)
     job = registry.jobs.get(parsed_name[0]) if parsed_name is not None else None
@@ -53,7 +54,7 @@
 
 
 class ReportIntake:
-    """Keeps the inventory in step with reports, and answers them with orders."""
+    """Updates the inventory from reports, and answers them with commands."""
 
     def __init__(
         self,
@@ -80,39 +81,43 @@
         self._failures = failures
         self._listener = listener
         self._clock = clock
-        # The epoch with which we began to lead: machines that have seen it hear us.
+        # The term in which this controller began to lead. Machines that report it or a later one
+        # have received an answer of this leader.
         self._first_term = 0
-        # Since when workers have been finding their way to us.
+        # Since when workers may be reconnecting to this leader.
         self._reconnecting_since_us = 0
 
     def start_leading(self, first_term: int) -> None:
-        """This controller begins to lead."""
+        """Note that this controller has begun to lead."""
         self._first_term = first_term
         self.restart_after_pause()
 
     def restart_after_pause(self) -> None:
-        """This controller stood still: workers may have turned to others meanwhile."""
+        """Note that this process was suspended, so that workers may have turned to others."""
         self._reconnecting_since_us = self._clock.now_us()
 
     def process(self, report: Report, *, is_periodic: bool) -> list[Command]:
-        """Take a report, or the answer to /orders; the orders for the answer to a report."""
+        """Process a report, or the answer to /orders; return the commands for the worker."""
         now_us = self._clock.now_us()
         if self._inventory.is_gone(report.machine):
             return []
         machine = self._inventory.machines.get(report.machine)
         if machine is None:
             if report.term < self._first_term:
-                # Perhaps a late copy from a machine long gone. If it is there, it hears our
-                # epoch with this answer and reports again within half a second.
+                # Perhaps a late copy from a machine long gone. A machine that still runs learns the
+                # term from this answer and reports again within half a second.
                 return []
             log.info(
-                "machine %s (%s, %s) reports unexpected", report.machine, report.type, report.zone
+                "unexpected report from machine %s (%s, %s)",
+                report.machine,
+                report.type,
+                report.zone,
             )
             machine = self._inventory.adopt(
                 report.machine, report.type, report.zone, report.spot, "booting", now_us
             )
         if not machine.is_new_report(report):
-            # A late report: what it lists is as old as it is.
+            # A late report: its contents are outdated.
             return []
         before = self._usability_state(machine)
         if is_periodic:
@@ -125,7 +130,7 @@
         if report.term >= self._first_term:
             self._record_contact(machine, report, is_periodic=is_periodic)
         elif machine.phase != "up" and is_periodic and machine.probed_at_us is None:
-            # Just up, as it seems: let it see our epoch at once, and it can be used at once.
+            # Probably just booted: the probe shows it the term, so that it can be used at once.
             self._command_sender.probe(machine)
         changed = machine.update_tasks(report.tasks)
         evaluation = evaluate_report(
@@ -138,18 +143,18 @@
             may_start=self._leadership.may_start_tasks(),
             is_periodic=is_periodic,
         )
-        # A report from before our time may be a late copy: it proves nothing.
+        # A report of a term before this leader's may be a late copy and proves nothing.
         outcomes = evaluation.outcomes if machine.has_acknowledged_leader else []
         for outcome in outcomes:
             self._outcome_sender.add_reported(outcome)
         if outcomes:
             self._outcome_sender.send_new()
         if changed or before != self._usability_state(machine):
-            # Most reports tell nothing new: room and plans are worked out for the others only.
+            # Most reports change nothing, so capacity and offers are computed for the others only.
             self._offers.mark_changed(machine.name)
             self._listener.fleet_changed()
         for command in evaluation.commands:
-            log.debug("order to %s: %s", machine.name, command)
+            log.debug("command to %s: %s", machine.name, command)
         if is_periodic:
             confirmable = tuple(
                 command
@@ -164,7 +169,7 @@
         return job is not None and job.startable
 
     def _usability_state(self, machine: Machine) -> tuple[object, ...]:
-        """All that a report can change of whether and how a machine is used, besides its tasks."""
+        """All that reports can change about whether and how a machine is used, except its tasks."""
         return (
             machine.session,
             machine.phase,
@@ -178,7 +183,7 @@
         )
 
     def _record_contact(self, machine: Machine, report: Report, *, is_periodic: bool) -> None:
-        """A machine has reported under an epoch of ours, so it is there and hears us."""
+        """Update a machine that has reported in a term of this leader: it runs and is reachable."""
         now_us = self._clock.now_us()
         machine.has_acknowledged_leader = True
         if machine.phase != "up":
@@ -188,20 +193,21 @@
             machine.known_from_record_only = False
             machine.type, machine.zone, machine.spot = report.type, report.zone, report.spot
         if is_periodic or now_us - self._reconnecting_since_us < self._lease_us:
-            # Answers to /orders do not renew its lease: a machine whose reports do not reach us
-            # is well only as long as it may still be on its way from the leader before us.
+            # Answers to /orders do not renew the worker's lease. A machine whose reports don't
+            # reach this leader counts as seen only while it may still be reconnecting from the
+            # previous leader.
             machine.last_seen_at_us = now_us
         had_notice = machine.spot_notice_until_us is not None
         machine.spot_notice_until_us = (
             now_us + to_us(report.spot_notice_s) if report.spot_notice_s is not None else None
         )
         if machine.spot_notice_until_us is not None and not had_notice:
-            log.info("machine %s: notice of %.1f s", machine.name, report.spot_notice_s)
+            log.info("machine %s: spot notice, %.1f s left", machine.name, report.spot_notice_s)
         if report.tasks != machine.reported_tasks:
             self._record_task_changes(machine, report)
 
     def _record_task_changes(self, machine: Machine, report: Report) -> None:
-        """What new exits tell of the machine, and running tasks of its cached images."""
+        """Learn the machine's health from new exits, and its cached images from running tasks."""
         machine_type = self._inventory.types.get(machine.type)
         for task in report.tasks:
             before = machine.tasks.get((task.task, task.attempt))
@@ -216,4 +222,4 @@
             self._failures.record_exit(machine, parsed_name[0], task)
         if self._failures.is_unhealthy(machine) and not machine.unhealthy:
             machine.unhealthy = True
-            self._listener.release(machine, "fails its tasks")
+            self._listener.release(machine, "unhealthy: its tasks fail repeatedly")
--- a/mosswalk/fleet/silence.py
+++ b/mosswalk/fleet/silence.py
@@ -30,6 +30,8 @@
 ) -> set[str]:
     """Zones in which the reports of many machines are late at the same time.
 
+    Many means at least 3 machines and more than a third of those in the zone.
+
     A network partition, or a fault of the leader, is more likely there than that many dead
     machines. Late reports count, rather than silent machines, since machines report at different
     times and a partition shows in a few of them at first. Zones are looked at one by one, since
--- a/mosswalk/fleet/stopping.py
+++ b/mosswalk/fleet/stopping.py
@@ -1,7 +1,7 @@
-"""Which attempts the leader has decided to stop, and with how long a grace period.
+"""Keeps the attempts that the leader has decided to stop, with their grace periods.
 
-A gang counts as one: either every machine that runs a part of it is told at once, so that the
-whole gang can save, or none is.
+A gang is stopped as a whole: either all its machines get the command at once, so that the whole
+gang can write a checkpoint, or none does.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from mosswalk.store.records import Attempt
 from mosswalk.wire.workers import Command
 
-# A task that has not saved by then, beyond its grace period, is ended.
+# A task still running after its grace period, times the factor plus the margin, is killed.
 _KILL_MARGIN_US = 5 * SECOND_US
 _KILL_GRACE_FACTOR = 1.5
 
@@ -29,7 +29,7 @@
 
 
 class StopRegistry:
-    """Attempts to be stopped, besides those of jobs that are over or cancelled."""
+    """Attempts to be stopped whose jobs are still open."""
 
     def __init__(
         self,
@@ -52,16 +52,16 @@
         return key in self._stops
 
     def reset(self) -> None:
-        """Forget all: another controller leads."""
+        """Discard all state when another controller leads."""
         self._stops.clear()
 
     def discard_terminated(self) -> None:
-        """Drop what the records don't show any more."""
+        """Discard attempts that the records don't show as live any more."""
         for key in [k for k in self._stops if not self._registry.is_live(k)]:
             del self._stops[key]
 
     def grace_s(self, machine: Machine, key: AttemptKey) -> float | None:
-        """The grace with which an attempt is to be stopped, or None if it is to run."""
+        """The grace period with which an attempt is to be stopped, or None if it is to run."""
         job = self._registry.jobs.get(key[0])
         if job is None or not job.open:
             return 0.0
@@ -77,7 +77,7 @@
             return 0.0
         has_spot_notice = machine.spot_notice_until_us is not None
         if has_spot_notice and job.spec.checkpoint_interval_s > 0 and not job.is_gang:
-            # The machine is about to be taken: save what can be saved.
+            # The cloud is about to reclaim the machine: have the task write a checkpoint.
             return job.spec.checkpoint_duration_s
         return None
 
@@ -97,24 +97,24 @@
             self._send_command(machine, Command("kill", name, attempt.number, grace_s))
 
     def kill_withdrawn(self, job: Job) -> None:
-        """A job is withdrawn: end its tasks without waiting for the machines' next reports."""
+        """Kill the tasks of a withdrawn job without waiting for the machines' next reports."""
         for attempt in job.live_attempts():
             self._kill(job, attempt, 0.0)
 
     def kill_gang(self, job: Job) -> None:
-        """A gang's attempt is over: end what is left of it, unless it is saving."""
+        """Kill the tasks left of a gang that is ending, except those being stopped with grace."""
         for attempt in job.live_attempts():
             if (job.id, attempt.task, attempt.number) not in self._stops:
                 self._kill(job, attempt, 0.0)
 
     def gangs_to_checkpoint(self) -> Iterator[Job]:
-        """Gangs that are to save since one of their machines is about to be taken."""
+        """Gangs that must write a checkpoint as one of their machines is about to be reclaimed."""
         for job in self._registry.gangs.values():
             if job.startable and job.spec.checkpoint_interval_s > 0 and self._can_checkpoint(job):
                 yield job
 
     def _can_checkpoint(self, job: Job) -> bool:
-        """Whether a machine of the gang is under notice, and all can be told while it lasts."""
+        """Whether a machine of the gang has a spot notice, and all can be told before it ends."""
         now_us = self._clock.now_us()
         has_spot_notice = False
         for attempt in job.live_attempts():
@@ -134,6 +134,6 @@
         return has_spot_notice
 
     def stop_gang(self, job: Job) -> None:
-        """Have a gang save and stop: all its tasks are told at once."""
+        """Have all tasks of a gang write a checkpoint and stop at the same time."""
         for attempt in job.live_attempts():
             self.stop(job, attempt, job.spec.checkpoint_duration_s)
