--- a/mosswalk/fleet/command_sender.py
+++ b/mosswalk/fleet/command_sender.py
@@ -30,7 +30,7 @@
 class _PendingRequest(Struct):
     commands: list[Command] = field(default_factory=list)
     in_flight: bool = False
-    # Send even without commands: an answer shows that the worker can be reached.
+    # Send even without commands: an answer shows that the worker receives them.
     probe: bool = False
     scheduled: bool = False
 
@@ -183,7 +183,7 @@
                 else:
                     log.error("worker %s: /orders answered %d", name, response.status)
         except aiohttp.ClientConnectorError:
-            # An aborted connection attempt can't succeed later, so nothing was sent.
+            # A failed connection attempt does not complete later, so nothing was sent.
             sent = False
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
             log.debug("commands to %s: no answer: %r", name, error)
--- a/mosswalk/fleet/stopping.py
+++ b/mosswalk/fleet/stopping.py
@@ -18,7 +18,7 @@
 from mosswalk.store.records import Attempt
 from mosswalk.wire.workers import Command
 
-# A task still running after its grace period, times the factor plus the margin, is killed.
+# A task that still runs after its grace period times this factor, plus this margin, is killed.
 _KILL_MARGIN_US = 5 * SECOND_US
 _KILL_GRACE_FACTOR = 1.5
 
@@ -102,7 +102,7 @@
             self._kill(job, attempt, 0.0)
 
     def kill_gang(self, job: Job) -> None:
-        """Kill the tasks left of a gang that is ending, except those being stopped with grace."""
+        """Kill what is left of an ending gang, except tasks that may be writing a checkpoint."""
         for attempt in job.live_attempts():
             if (job.id, attempt.task, attempt.number) not in self._stops:
                 self._kill(job, attempt, 0.0)
