--- a/mosswalk/wire/__init__.py
+++ b/mosswalk/wire/__init__.py
@@ -1,5 +1,5 @@
-"""The wire formats of every protocol mosswalk speaks; usable by clients on their own.
+"""The message formats of every protocol that mosswalk speaks.
 
-Attribute names are the field's usual ones; the names that travel are given by ``field(name=...)``.
-Nothing here does I/O, so a client may import this package alone.
+Where an attribute's name differs from the encoded name, ``field(name=...)`` gives the latter.
+Nothing here does I/O, so a client may import this package on its own.
 """
--- a/mosswalk/wire/cloud.py
+++ b/mosswalk/wire/cloud.py
@@ -1,4 +1,4 @@
-"""Messages between controllers and the cloud."""
+"""Messages between controllers and the cloud's API."""
 
 from __future__ import annotations
 
@@ -6,13 +6,14 @@
 
 from msgspec import Struct, field
 
+# Limits of the cloud's API for each request.
 MAX_MACHINES_PER_RENTAL = 50
 MAX_MACHINES_PER_RELEASE = 100
 MAX_MACHINES_PER_PAGE = 500
 
 
 class MachineType(Struct, frozen=True):
-    """A shape of machine that can be rented."""
+    """A machine type that can be rented, with its current prices."""
 
     name: str = field(name="label")
     cpus: float = field(name="cores")
@@ -27,13 +28,13 @@
 
 
 class MachineTypes(Struct, frozen=True):
-    """The answer to GET /machine_types."""
+    """The response to GET /machine_types."""
 
     types: tuple[MachineType, ...] = field(name="builds")
 
 
 class RentRequest(Struct, frozen=True):
-    """POST /machines."""
+    """The body of POST /machines."""
 
     request_id: str = field(name="hire")
     type: str = field(name="build")
@@ -43,13 +44,13 @@
 
 
 class MachineNames(Struct, frozen=True):
-    """The answer to a rental and the body of a release."""
+    """The response to POST /machines and the body of POST /machines/release."""
 
     machines: tuple[str, ...] = field(name="hosts")
 
 
 class ListedMachine(Struct, frozen=True):
-    """A row of the machine list."""
+    """A machine as GET /machines lists it."""
 
     name: str = field(name="ref")
     type: str = field(name="build")
@@ -61,7 +62,7 @@
 
 
 class MachineList(Struct, frozen=True):
-    """A page of the machine list."""
+    """A page of the response to GET /machines."""
 
     machines: tuple[ListedMachine, ...] = field(name="hosts")
     truncated: bool = False
--- a/mosswalk/wire/peers.py
+++ b/mosswalk/wire/peers.py
@@ -10,7 +10,7 @@
 
 
 class MachineOffer(Struct, frozen=True, array_like=True, gc=False):
-    """Room on one booted machine that a team may use; amounts in thousandths."""
+    """Free capacity of one booted machine that a team may use; amounts in thousandths."""
 
     machine: str
     type: str
@@ -26,31 +26,34 @@
 
 
 class TeamOffer(Struct, frozen=True, array_like=True):
-    """All the room offered to one team in one go."""
+    """All the free capacity that one offer gives to one team."""
 
     team: str
     machines: tuple[MachineOffer, ...]
 
 
 class Offer(Struct, frozen=True):
-    """Leader to owner: place your queues on this room."""
+    """Leader to team owner: free capacity to place the tasks in its queues on."""
 
     term: int
     teams: tuple[TeamOffer, ...]
-    # The zones of machines that attempts of these teams' zone-bound jobs are on: only the
-    # leader knows them, and without them the owner could not place such a job's next task.
+    # The zone of each machine that runs attempts of these teams' jobs with a zone rule. Only the
+    # leader knows it, and without it the owner could not place such a job's next task.
     machine_zones: dict[str, str] = field(name="zones", default_factory=dict)
 
 
 class OfferAnswer(Struct, frozen=True):
-    """Owner to leader: the store revision by which every placing made of it is visible."""
+    """Team owner to leader: how many tasks were placed on an offer.
+
+    ``revision`` is the store revision at which all these placements are visible.
+    """
 
     revision: int
     placed: int
 
 
 class Outcome(Struct, frozen=True, array_like=True, gc=False):
-    """What became of an attempt, proven by a worker's report or by the cloud."""
+    """How an attempt ended, as proven by a worker's report or by the cloud."""
 
     task: str
     attempt: int
@@ -59,7 +62,7 @@
 
 
 class Outcomes(Struct, frozen=True):
-    """Leader to owner: write these into the job records."""
+    """Leader to team owner: outcomes to write into the job records."""
 
     term: int
     outcomes: tuple[Outcome, ...]
@@ -69,47 +72,51 @@
 
 
 class LinkRow(Struct, frozen=True, array_like=True, gc=False):
-    """What a controller knows of another one: an observer's row of who reaches whom."""
+    """One observer's view of its link to another controller: a row of the reachability matrix."""
 
     node: str
     run: str
     state: LinkState
-    # How long ago the observer heard it.
+    # How long ago the observer last received a message from it.
     heard_ms: int
-    # Whether connections to it are refused, as a dead process does.
+    # Whether connections to it are refused, as happens when its process is dead.
     refused: bool
 
 
 class Heartbeat(Struct, frozen=True):
-    """A sign of life, and whom its sender hears. Ages are durations: no two clocks are compared."""
+    """A controller's heartbeat, with the state of its links to the other controllers.
+
+    Ages are durations, so that clocks of different machines are never compared.
+    """
 
     node: str
     run: str
-    # The sender stood still a moment ago: what it does not hear tells nothing.
+    # The sender's own process stalled a moment ago, so silence that it observed proves nothing.
     stalled: bool
     rows: tuple[LinkRow, ...] = ()
 
 
 class ProbeAnswer(Struct, frozen=True):
-    """Whether a controller could be reached from a third one."""
+    """Whether the probed controller could be reached from the one that was asked to probe it."""
 
     reached: bool
 
 
 class PeerStatus(Struct, frozen=True):
-    """What another controller sees: whether the state service serves it, and who turns to it."""
+    """The sender's own status: whether the state service serves it, and what reaches it."""
 
     state_is_fresh: bool = field(name="fresh")
-    # Machines whose workers came to it of late although it does not lead.
+    # The number of machines whose workers reported to it recently although it does not lead.
     stray_workers: int = field(name="visitors", default=0)
-    # Sent to those who sent theirs, if the failure detector is on.
+    # Sent to controllers that sent theirs, if the failure detector is on.
     heartbeat: Heartbeat | UnsetType = UNSET
 
 
 class Withdrawal(Struct, frozen=True):
-    """To all: a job was withdrawn by the commit with this revision.
+    """To all controllers: a job was withdrawn by the commit with this revision.
 
-    It brings what the watch will show: the job's record, or None if the job was over with it.
+    ``record`` is what the watch will show: the job's record, or None if the withdrawal ended the
+    job at once.
     """
 
     job: str
@@ -118,13 +125,13 @@
 
 
 class Withdrawals(Struct, frozen=True):
-    """Withdrawals that another controller has told users of."""
+    """Withdrawals that another controller has confirmed to users."""
 
     withdrawals: tuple[Withdrawal, ...]
 
 
 class PollAnswer(Struct, frozen=True):
-    """What the state service told another controller about a job, as a user is answered."""
+    """The response to a user's poll of a job, from a controller that the state service serves."""
 
     status: int
     body: bytes
--- a/mosswalk/wire/state.py
+++ b/mosswalk/wire/state.py
@@ -1,4 +1,4 @@
-"""Messages between controllers and the state service."""
+"""Messages between controllers and the state service, a versioned key-value store."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Row(Struct, frozen=True):
-    """A key with its value."""
+    """A key with its value, its version and the lease it is attached to, if any."""
 
     key: str = field(name="path")
     value: Raw = field(name="v")
@@ -15,7 +15,7 @@
 
 
 class RowPage(Struct, frozen=True):
-    """The answer to a range read."""
+    """A page of the response to a range read."""
 
     rows: tuple[Row, ...]
     revision: int = field(name="ledger")
@@ -23,14 +23,14 @@
 
 
 class Guard(Struct, frozen=True):
-    """A condition: the key must have this version, 0 for none."""
+    """A condition of a transaction: the key has this version, or doesn't exist if it is 0."""
 
     key: str = field(name="path")
     version: int = field(name="stamp")
 
 
 class Write(Struct, frozen=True, omit_defaults=True):
-    """A put, or a delete when ``delete`` is set."""
+    """A put of ``key``, or a deletion of the key in ``delete`` if that is set."""
 
     key: str | UnsetType = field(name="write", default=UNSET)
     value: Raw | UnsetType = field(name="v", default=UNSET)
@@ -39,26 +39,26 @@
 
 
 class Transaction(Struct, frozen=True):
-    """POST /commit."""
+    """The body of POST /commit."""
 
     guards: tuple[Guard, ...]
     writes: tuple[Write, ...]
 
 
 class Committed(Struct, frozen=True):
-    """The 200 answer to a commit."""
+    """The 200 response to a commit."""
 
     revision: int = field(name="ledger")
 
 
 class Conflict(Struct, frozen=True):
-    """The 409 answer to a commit."""
+    """The 409 response to a commit: the keys whose guards failed."""
 
     failed: tuple[str, ...]
 
 
 class LeaseRequest(Struct, frozen=True):
-    """POST /holds."""
+    """The body of POST /holds."""
 
     ttl_ms: int
 
@@ -70,7 +70,7 @@
 
 
 class Event(Struct, frozen=True):
-    """One change seen by a watch."""
+    """One change reported by a watch: a put of ``key``, or a deletion of the key in ``delete``."""
 
     version: int = field(name="stamp")
     key: str | None = field(name="write", default=None)
@@ -79,7 +79,7 @@
 
 
 class Events(Struct, frozen=True):
-    """The answer to a watch."""
+    """The response to a watch request."""
 
     revision: int = field(name="ledger")
     events: tuple[Event, ...]
--- a/mosswalk/wire/users.py
+++ b/mosswalk/wire/users.py
@@ -1,4 +1,4 @@
-"""Messages between users and controllers."""
+"""Messages between users and controllers, and the checks of a submitted job."""
 
 from __future__ import annotations
 
@@ -12,23 +12,23 @@
 MAX_BODY_BYTES = 64 * 1024
 MAX_TASKS = 100_000
 MAX_AMOUNT = 1e9
-MAX_NAME = 200
+MAX_NAME_LEN = 200
 MAX_TYPES = 64
 
-# Ids travel in URL paths and in store keys: nothing but this form may reach either.
+# Job ids become part of URL paths and of store keys, so no other form may reach either.
 JOB_ID = re.compile(r"j-[0-9]{1,20}\Z")
 
 Kind = Literal["array", "daemon", "group"]
 ARRAY: Kind = "array"
 SERVICE: Kind = "daemon"
-# All tasks run at the same time or none does.
+# All tasks of a gang run at the same time, or none does.
 GANG: Kind = "group"
 Priority = Literal["prod", "high", "standard", "idle"]
 Phase = Literal["pending", "running", "done", "withdrawn"]
 
 
 class JobSpec(Struct, frozen=True, omit_defaults=True):
-    """A job as its user submits it."""
+    """A job as a user submits it."""
 
     id: str = field(name="ref")
     job_class: str = field(name="lane")
@@ -53,7 +53,7 @@
 
 
 class JobState(Struct, frozen=True, omit_defaults=True):
-    """A job's state as a user sees it."""
+    """A job's state as shown to users."""
 
     id: str = field(name="ref")
     phase: Phase
@@ -62,28 +62,28 @@
 
 
 class ErrorBody(Struct, frozen=True):
-    """Why a request was turned down."""
+    """The JSON body of an error response."""
 
     error: str
 
 
 class InvalidJobError(ValueError):
-    """The submission is malformed; the text says which field and why."""
+    """The submission is malformed; the message names the field and the reason."""
 
 
 _decoder = msgspec.json.Decoder(JobSpec)
 
 
-def _check(condition: bool, what: str) -> None:
+def _check(condition: bool, message: str) -> None:
     if not condition:
-        raise InvalidJobError(what)
+        raise InvalidJobError(message)
 
 
 def check_job(spec: JobSpec) -> None:
-    """Raise InvalidJobError unless every field has a value that makes sense."""
+    """Raise InvalidJobError if a field's value is out of range or malformed."""
     _check(JOB_ID.match(spec.id) is not None, "ref: must look like j-000412")
     for name, text in (("lane", spec.job_class), ("owner", spec.team), ("bundle", spec.image)):
-        _check(0 < len(text) <= MAX_NAME, f"{name}: must have 1 to {MAX_NAME} characters")
+        _check(0 < len(text) <= MAX_NAME_LEN, f"{name}: must have 1 to {MAX_NAME_LEN} characters")
     _check(1 <= spec.tasks <= MAX_TASKS, f"pieces: must be 1 to {MAX_TASKS}")
     amounts = (
         ("cores", spec.cpus),
@@ -99,14 +99,14 @@
         _check(math.isfinite(amount) and 0 <= amount <= MAX_AMOUNT, f"{name}: out of range")
     _check(spec.cpus > 0, "cores: must be above 0")
     _check(spec.deadline_s is None or spec.deadline_s > 0, "due_s: must be above 0")
-    _check(spec.zone is None or 0 < len(spec.zone) <= MAX_NAME, "yard: bad name")
+    _check(spec.zone is None or 0 < len(spec.zone) <= MAX_NAME_LEN, "yard: bad name")
     if spec.types is not None:
         _check(len(spec.types) <= MAX_TYPES, f"builds: at most {MAX_TYPES}")
-        _check(all(0 < len(t) <= MAX_NAME for t in spec.types), "builds: bad name")
+        _check(all(0 < len(t) <= MAX_NAME_LEN for t in spec.types), "builds: bad name")
 
 
 def decode_job(body: bytes) -> JobSpec:
-    """Decode and check a submission."""
+    """Decode and check a submission; raises InvalidJobError."""
     try:
         spec = _decoder.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
@@ -123,7 +123,10 @@
 
 
 def peek_id(body: bytes) -> str | None:
-    """The job id in a body that is otherwise invalid: an accepted job stays known."""
+    """Extract the job id from a body that is otherwise invalid.
+
+    If that job was accepted before, the answer is its state instead of an error.
+    """
     try:
         found = _id_decoder.decode(body).id
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError):
--- a/mosswalk/wire/workers.py
+++ b/mosswalk/wire/workers.py
@@ -6,23 +6,23 @@
 
 from msgspec import Struct, field
 
-# pulling, running, saving or exited; a phase not known here counts as alive.
 
-
-# ``gc=False`` here and on what else there is one of for each task or machine: it can't be in a
-# cycle, and the collector need not walk it. With 4,000 machines it ran 20 times in place of 50.
+# ``gc=False``, on this struct and on all others that exist once per task or machine: they can't
+# be part of a reference cycle, so the garbage collector need not traverse them. With 4,000
+# machines the collector then ran 20 times instead of 50.
 class TaskReport(Struct, frozen=True, gc=False):
-    """One task attempt as its worker sees it."""
+    """The state of one task attempt on a worker."""
 
     task: str = field(name="piece")
     attempt: int = field(name="try")
+    # pulling, running, saving or exited; an unknown phase is treated as a live attempt.
     phase: str
     cause: str | None = None
     checkpointed: bool = field(name="saved", default=False)
 
 
 class Report(Struct, frozen=True):
-    """A worker's report; also the answer to /orders and /show."""
+    """A worker's periodic report; also the response to /orders and /show."""
 
     machine: str = field(name="host")
     address: str = field(name="addr")
@@ -37,7 +37,7 @@
 
 
 class Command(Struct, frozen=True, omit_defaults=True, gc=False):
-    """A command to a worker."""
+    """A command from the leader to a worker about one task attempt."""
 
     op: Literal["run", "kill", "reap"] = field(name="verb")
     task: str = field(name="piece")
@@ -46,14 +46,14 @@
 
 
 class ReportAnswer(Struct, frozen=True):
-    """The 200 answer to a report."""
+    """The 200 response to a report."""
 
     term: int = field(name="epoch")
     commands: tuple[Command, ...] = field(name="orders")
 
 
 class DirectCommands(Struct, frozen=True):
-    """The body of POST /orders."""
+    """The body of POST /orders, which sends commands to a worker between its reports."""
 
     term: int = field(name="epoch")
     session: int = field(name="tenure")
@@ -61,6 +61,6 @@
 
 
 class Redirect(Struct, frozen=True, omit_defaults=True):
-    """The 421 answer: which controller takes reports, if known."""
+    """The 421 response to a report: which controller accepts reports, if known."""
 
     leader: str | None = field(name="steward", default=None)
