--- a/mosswalk/actors/__init__.py
+++ b/mosswalk/actors/__init__.py
@@ -1,7 +1,7 @@
-"""Actors: each owns its state and is spoken to by messages.
+"""The actor base class, clocks and helpers for background work.
 
-Time and randomness are handed in, so that decisions repeat exactly in tests. All times are
-whole microseconds.
+An actor owns its state and is changed only by the messages it receives. Time and randomness are
+passed in, so that tests can reproduce decisions exactly. All times are whole microseconds.
 """
 
 from __future__ import annotations
@@ -18,30 +18,30 @@
 
 
 def to_us(seconds: float) -> int:
-    """Seconds, as every protocol gives them, in whole microseconds."""
+    """Convert seconds, which all protocols and settings use, to whole microseconds."""
     return round(seconds * SECOND_US)
 
 
 def to_s(us: int) -> float:
-    """Microseconds in seconds, for protocols and timers."""
+    """Convert microseconds to seconds, for protocols and timers."""
     return us / SECOND_US
 
 
 class Clock(Protocol):
-    """Where an actor gets its time from."""
+    """A source of time."""
 
     def now_us(self) -> int:
-        """Steady time, which never steps."""
+        """Monotonic time, for durations within this process."""
 
     def wall_us(self) -> int:
-        """Time of day, within the deployment's bound of the truth."""
+        """Time of day, which differs from true time by no more than the deployment's bound."""
 
 
 class SystemClock:
-    """The machine's own clocks."""
+    """The clocks of the machine that this process runs on."""
 
     def now_us(self) -> int:
-        """Steady time."""
+        """Monotonic time."""
         return time.monotonic_ns() // 1000
 
     def wall_us(self) -> int:
@@ -53,10 +53,10 @@
 
 
 class Actor(Generic[M]):
-    """A mailbox and the one task that empties it.
+    """A mailbox and the single task that handles its messages in order.
 
-    ``receive`` handles one message at a time; a message that fails is logged and dropped, since
-    an actor that died would silently stop a part of the service.
+    ``receive`` handles one message at a time. If it raises an exception, the message is logged and
+    dropped: ending the actor instead would silently stop a part of the service.
     """
 
     name = "actor"
@@ -66,10 +66,10 @@
         self._tasks: set[asyncio.Task[Any]] = set()
 
     def send(self, message: M) -> None:
-        """Leave a message.
+        """Put a message into the mailbox.
 
-        The mailbox has no limit of its own, as nothing may be dropped: a sender has one message
-        under way for what it is about (a machine, an owner, a cloud call), and that bounds it.
+        The mailbox has no size limit, since no message may be dropped. Senders bound it: each has
+        at most one message in flight per subject (a machine, a team owner, a cloud call).
         """
         self._mailbox.put_nowait(message)
 
@@ -78,7 +78,7 @@
         raise NotImplementedError
 
     async def run(self) -> None:
-        """Handle messages for ever."""
+        """Handle messages until cancelled."""
         while True:
             message = await self._mailbox.get()
             try:
@@ -86,22 +86,22 @@
             except asyncio.CancelledError:
                 raise
             except Exception:
-                log.exception("%s: a %s failed", self.name, type(message).__name__)
+                log.exception("%s: handling a %s failed", self.name, type(message).__name__)
 
     def spawn(self, work: Awaitable[Any]) -> None:
-        """Run something beside the mailbox, kept alive and its failure logged."""
+        """Run an awaitable concurrently with the mailbox; a failure is logged."""
         task = asyncio.ensure_future(work)
         self._tasks.add(task)
-        task.add_done_callback(self._finished)
+        task.add_done_callback(self._on_task_done)
 
-    def _finished(self, task: asyncio.Task[Any]) -> None:
+    def _on_task_done(self, task: asyncio.Task[Any]) -> None:
         self._tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
-            log.error("%s: background work failed", self.name, exc_info=task.exception())
+            log.error("%s: background task failed", self.name, exc_info=task.exception())
 
 
 async def run_forever(work: Callable[[], Awaitable[None]]) -> None:
-    """Run a loop that must not end; one that fails is logged and begun again a little later."""
+    """Run a loop that must not end; if it fails, log the failure and restart it after a second."""
     while True:
         try:
             await work()
--- a/mosswalk/cloud/__init__.py
+++ b/mosswalk/cloud/__init__.py
@@ -1,1 +1,1 @@
-"""The cloud: client, rate limit and the caller that carries out rents and releases."""
+"""Access to the cloud's API: client, rate limit, and execution of rentals and releases."""
--- a/mosswalk/cloud/actor.py
+++ b/mosswalk/cloud/actor.py
@@ -1,4 +1,4 @@
-"""Carries out the leader's cloud calls within the cloud's rate, and tells it the results."""
+"""Executes the leader's calls to the cloud within its rate limit, and reports the results."""
 
 from __future__ import annotations
 
@@ -16,11 +16,22 @@
 
 log = logging.getLogger(__name__)
 
-_MOST_TRIES = 5
+# The rest of the rate limit is left for the last calls of a deposed leader.
+_RATE_SHARE = 0.9
+_BURST_S = 1.5
+_MIN_BURST_CALLS = 2.0
+_MAX_RENT_ATTEMPTS = 5
+_INITIAL_RENT_DELAY_S = 0.5
+_INITIAL_RELEASE_DELAY_S = 0.4
+_RELEASE_DELAY_FACTOR = 1.7
+_MAX_DELAY_S = 4.0
+# Each retry delay is multiplied by a random factor between these.
+_MIN_JITTER = 0.7
+_MAX_JITTER = 1.3
 
 
 class RentResult(Struct):
-    """A rental's machines; fewer than groups if there were not enough to be had."""
+    """The machines of a rental; fewer than ``groups`` if the cloud had too few."""
 
     groups: tuple[int, ...]
     pool: tuple[str, str, bool]
@@ -28,19 +39,19 @@
 
 
 class ReleaseResult(Struct):
-    """These machines and everything on them are gone: the cloud has said so."""
+    """Machines whose release the cloud has confirmed: they and everything on them are gone."""
 
     machines: tuple[str, ...]
 
 
 class ListResult(Struct):
-    """The machine list, somewhat old."""
+    """The machine list, which lags behind the cloud's actual state."""
 
     machines: tuple[wire.ListedMachine, ...]
 
 
 class MachineTypesResult(Struct):
-    """Machine types with current prices."""
+    """The machine types with current prices."""
 
     types: tuple[wire.MachineType, ...]
 
@@ -49,7 +60,7 @@
 
 
 class CloudCaller:
-    """The only one in this process that talks to the cloud."""
+    """Makes all calls of this process to the cloud, so that they share one rate limit."""
 
     def __init__(
         self,
@@ -57,141 +68,154 @@
         clock: Clock,
         rng: random.Random,
         rps: float,
-        tell: Callable[[CloudResult], None],
-        entitled: Callable[[], bool],
-        may_end: Callable[[], bool],
+        on_result: Callable[[CloudResult], None],
+        has_authority: Callable[[], bool],
+        may_release_urgent: Callable[[], bool],
     ) -> None:
         self._client = client
         self._clock = clock
         self._rng = rng
-        # A part of the rate is left for a deposed leader's last calls.
-        self._bucket = TokenBucket(rps * 0.9, max(2.0, rps * 1.5), clock.now_us())
-        self._tell = tell
-        # Judged right before each call that changes something.
-        self._entitled = entitled
-        # The same for releases that must not wait for the state service.
-        self._may_end = may_end
+        self._bucket = TokenBucket(
+            rps * _RATE_SHARE, max(_MIN_BURST_CALLS, rps * _BURST_S), clock.now_us()
+        )
+        self._on_result = on_result
+        # Checked right before each call that changes something.
+        self._has_authority = has_authority
+        # Checked where the above fails: whether releases that must not wait for the state service
+        # may be made all the same.
+        self._may_release_urgent = may_release_urgent
+        # Machines to release; the urgent ones are in both sets.
         self._releases: set[str] = set()
-        self._unserved: set[str] = set()
+        self._urgent_releases: set[str] = set()
         self._release_wake = asyncio.Event()
-        self._failing_since_us: int | None = None
+        self._cloud_failing_since_us: int | None = None
 
     def available_calls(self) -> int:
-        """How many calls could be made at once; one is kept for releases."""
+        """The number of calls that could be made now, less one that is reserved for releases."""
         return max(0, int(self._bucket.available(self._clock.now_us())) - 1)
 
-    async def _turn(self) -> None:
+    async def _wait_for_rate(self) -> None:
         wait_us = self._bucket.reserve_us(self._clock.now_us())
         if wait_us:
             await asyncio.sleep(to_s(wait_us))
 
-    def _failed(self, what: str, error: CloudError) -> None:
-        # One line an outage, not one a call.
-        if self._failing_since_us is None:
-            self._failing_since_us = self._clock.now_us()
-            log.info("cloud: %s failed: %s", what, error)
+    def _record_failure(self, call: str, error: CloudError) -> None:
+        # Logs one line per outage, not one per call.
+        if self._cloud_failing_since_us is None:
+            self._cloud_failing_since_us = self._clock.now_us()
+            log.info("cloud: %s failed: %s", call, error)
 
-    def _served(self) -> None:
-        if self._failing_since_us is not None:
-            lasted_us = self._clock.now_us() - self._failing_since_us
-            log.info("cloud: serves again after %.1f s", lasted_us / SECOND_US)
-            self._failing_since_us = None
+    def _record_success(self) -> None:
+        if self._cloud_failing_since_us is not None:
+            lasted_us = self._clock.now_us() - self._cloud_failing_since_us
+            log.info("cloud: calls succeed again after %.1f s", lasted_us / SECOND_US)
+            self._cloud_failing_since_us = None
 
     async def rent(self, groups: tuple[int, ...], pool: tuple[str, str, bool]) -> None:
-        """Rent a machine for each group, in one call: calls are scarcer than machines.
+        """Rent one machine for each group, all in one call, since calls are rate-limited.
 
-        The request's name is random, so that it is never used again.
+        The request id is random, so that no two rentals share one.
         """
-        name = f"r-{self._rng.getrandbits(64):016x}"
+        request_id = f"r-{self._rng.getrandbits(64):016x}"
         count = min(len(groups), wire.MAX_MACHINES_PER_RENTAL)
-        request = wire.RentRequest(name, pool[0], pool[1], pool[2], count)
+        request = wire.RentRequest(request_id, pool[0], pool[1], pool[2], count)
         machines: tuple[str, ...] = ()
-        for attempt in range(_MOST_TRIES):
-            await self._turn()
-            if not self._entitled():
-                # Perhaps we stood still, and another leads: what we decided is its business now.
+        for attempt in range(_MAX_RENT_ATTEMPTS):
+            await self._wait_for_rate()
+            if not self._has_authority():
+                # This process may have stalled and another controller lead by now; the rental that
+                # was decided before must not be made then.
                 break
             try:
                 machines = await self._client.rent(request)
-                self._served()
+                self._record_success()
                 break
             except NoCapacityError:
-                self._served()
+                self._record_success()
                 break
             except CloudError as error:
-                # Repeated under the same name: if it was carried out, we get its machines.
-                self._failed("rental", error)
-                await asyncio.sleep(min(4.0, 0.5 * 2**attempt) * self._rng.uniform(0.7, 1.3))
-        self._tell(RentResult(groups, pool, machines))
+                # Retried with the same request id: if the failed call was executed after all, the
+                # retry returns its machines.
+                self._record_failure("rental", error)
+                await asyncio.sleep(
+                    min(_MAX_DELAY_S, _INITIAL_RENT_DELAY_S * 2**attempt)
+                    * self._rng.uniform(_MIN_JITTER, _MAX_JITTER)
+                )
+        self._on_result(RentResult(groups, pool, machines))
 
     def release(self, names: list[str], *, needs_state_service: bool = True) -> None:
-        """Return machines; repeated until the cloud confirms it."""
+        """Release machines; the call is repeated until the cloud confirms it.
+
+        With ``needs_state_service`` false, they are released even while the state service does not
+        answer.
+        """
         self._releases.update(names)
         if not needs_state_service:
-            self._unserved.update(names)
+            self._urgent_releases.update(names)
         self._release_wake.set()
 
     def clear_pending_releases(self) -> None:
-        """Another controller leads: what is left to return is its business."""
+        """Drop all pending releases: another controller leads and decides about them."""
         self._releases.clear()
-        self._unserved.clear()
+        self._urgent_releases.clear()
 
-    def _may_release(self) -> list[str]:
-        if self._entitled():
+    def _allowed_releases(self) -> list[str]:
+        if self._has_authority():
             return sorted(self._releases)
-        return sorted(self._releases & self._unserved) if self._may_end() else []
+        return sorted(self._releases & self._urgent_releases) if self._may_release_urgent() else []
 
     async def run_releases(self) -> None:
-        """Return machines for ever."""
+        """Release machines as requested, until cancelled."""
         while True:
             await self._release_wake.wait()
             self._release_wake.clear()
-            pause_s = 0.4
+            delay_s = _INITIAL_RELEASE_DELAY_S
             while self._releases:
-                await self._turn()
-                batch = tuple(self._may_release()[: wire.MAX_MACHINES_PER_RELEASE])
+                await self._wait_for_rate()
+                batch = tuple(self._allowed_releases()[: wire.MAX_MACHINES_PER_RELEASE])
                 if not batch:
-                    # As above; if we lead on, these wait until the state service has said so.
-                    await asyncio.sleep(pause_s)
+                    # Another controller may lead by now. If this one still does, the releases wait
+                    # until the state service confirms it.
+                    await asyncio.sleep(delay_s)
                     continue
                 try:
                     await self._client.release(batch)
                 except CloudError as error:
-                    self._failed("release", error)
-                    await asyncio.sleep(pause_s * self._rng.uniform(0.7, 1.3))
-                    pause_s = min(4.0, pause_s * 1.7)
+                    self._record_failure("release", error)
+                    await asyncio.sleep(delay_s * self._rng.uniform(_MIN_JITTER, _MAX_JITTER))
+                    delay_s = min(_MAX_DELAY_S, delay_s * _RELEASE_DELAY_FACTOR)
                     continue
-                self._served()
+                self._record_success()
                 self._releases.difference_update(batch)
-                self._unserved.difference_update(batch)
-                self._tell(ReleaseResult(batch))
+                self._urgent_releases.difference_update(batch)
+                self._on_result(ReleaseResult(batch))
 
     async def refresh_machine_list(self) -> None:
-        """Read the whole machine list."""
+        """Read all pages of the machine list and report it."""
         rows: list[wire.ListedMachine] = []
         after: str | None = None
         try:
             while True:
-                await self._turn()
+                await self._wait_for_rate()
                 page = await self._client.list_page(after)
                 rows += page.machines
                 if not page.truncated or not page.machines:
                     break
                 after = page.machines[-1].name
         except CloudError as error:
-            self._failed("list", error)
+            self._record_failure("machine list", error)
             return
-        self._served()
-        self._tell(ListResult(tuple(rows)))
+        self._record_success()
+        self._on_result(ListResult(tuple(rows)))
 
     async def refresh_machine_types(self) -> bool:
-        """Read machine types and prices; whether that worked."""
+        """Read machine types and prices and report them; return whether that succeeded."""
         try:
-            await self._turn()
+            await self._wait_for_rate()
             types = await self._client.machine_types()
         except CloudError as error:
-            self._failed("machine types", error)
+            self._record_failure("machine types", error)
             return False
-        self._served()
-        self._tell(MachineTypesResult(types.types))
+        self._record_success()
+        self._on_result(MachineTypesResult(types.types))
         return True
--- a/mosswalk/cloud/bucket.py
+++ b/mosswalk/cloud/bucket.py
@@ -1,4 +1,4 @@
-"""A token bucket in whole microseconds."""
+"""A token bucket for rate limits; its clock counts whole microseconds."""
 
 from __future__ import annotations
 
@@ -6,39 +6,39 @@
 
 
 class TokenBucket:
-    """Tokens arrive at ``rate`` a second, up to ``burst`` of them."""
+    """A bucket that gains ``rate`` tokens per second and holds at most ``burst``."""
 
     def __init__(self, rate: float, burst: float, now_us: int) -> None:
-        self._gap_us = SECOND_US / rate
-        self._burst_us = burst * self._gap_us
-        # The instant at which the bucket was, or will be, empty.
-        self._empty_us = now_us - self._burst_us
+        self._interval_us = SECOND_US / rate
+        self._burst_us = burst * self._interval_us
+        # The instant at which the bucket was last empty; in the future if tokens were taken ahead.
+        self._empty_at_us = now_us - self._burst_us
 
     def change_rate(self, rate: float, now_us: int) -> None:
-        """Let tokens arrive at another rate from now on."""
-        held = (now_us - self._empty_us) / self._gap_us
-        burst = self._burst_us / self._gap_us
-        self._gap_us = SECOND_US / rate
-        self._burst_us = burst * self._gap_us
-        self._empty_us = now_us - held * self._gap_us
+        """Change the rate; the tokens now in the bucket and its size in tokens stay the same."""
+        tokens = (now_us - self._empty_at_us) / self._interval_us
+        burst = self._burst_us / self._interval_us
+        self._interval_us = SECOND_US / rate
+        self._burst_us = burst * self._interval_us
+        self._empty_at_us = now_us - tokens * self._interval_us
 
-    def _settle(self, now_us: int) -> None:
-        self._empty_us = max(self._empty_us, now_us - self._burst_us)
+    def _cap_at_burst(self, now_us: int) -> None:
+        self._empty_at_us = max(self._empty_at_us, now_us - self._burst_us)
 
     def available(self, now_us: int) -> float:
-        """How many tokens could be taken now."""
-        self._settle(now_us)
-        return max(0.0, (now_us - self._empty_us) / self._gap_us)
+        """The number of tokens that could be taken now."""
+        self._cap_at_burst(now_us)
+        return max(0.0, (now_us - self._empty_at_us) / self._interval_us)
 
     def take(self, now_us: int, tokens: float = 1.0) -> bool:
-        """Take tokens if they are there."""
+        """Take tokens if that many are available; return whether they were."""
         if self.available(now_us) < tokens - 1e-9:
             return False
-        self._empty_us += tokens * self._gap_us
+        self._empty_at_us += tokens * self._interval_us
         return True
 
     def reserve_us(self, now_us: int, tokens: float = 1.0) -> int:
-        """Take tokens now or in advance; how long to wait before using them."""
-        self._settle(now_us)
-        self._empty_us += tokens * self._gap_us
-        return max(0, round(self._empty_us - now_us))
+        """Take tokens, in advance if necessary; return how long to wait before using them."""
+        self._cap_at_burst(now_us)
+        self._empty_at_us += tokens * self._interval_us
+        return max(0, round(self._empty_at_us - now_us))
--- a/mosswalk/cloud/client.py
+++ b/mosswalk/cloud/client.py
@@ -1,4 +1,4 @@
-"""The cloud's client: its published protocol, and what each outcome means."""
+"""HTTP client of the cloud's API: one method per endpoint, and errors by their meaning."""
 
 from __future__ import annotations
 
@@ -16,28 +16,28 @@
 
 
 class CloudError(Exception):
-    """The call failed or its outcome is unknown; it may be repeated as it is."""
+    """The call failed, or its outcome is unknown; the same request may be sent again."""
 
 
 class NoCapacityError(Exception):
-    """None available for this type, zone and kind."""
+    """The cloud has no machine of this type, zone and kind (spot or on demand) available."""
 
 
 class CloudClient:
-    """One method a call."""
+    """Sends requests to the cloud's API."""
 
-    def __init__(self, session: aiohttp.ClientSession, address: str) -> None:
-        self._session = session
-        self._base = f"http://{address}"
+    def __init__(self, http: aiohttp.ClientSession, address: str) -> None:
+        self._http = http
+        self._base_url = f"http://{address}"
 
     async def _call(
         self, method: str, path: str, body: object = None, timeout_s: float = 5.0
     ) -> tuple[int, bytes]:
         data = msgspec.json.encode(body) if body is not None else None
         try:
-            async with self._session.request(
+            async with self._http.request(
                 method,
-                self._base + path,
+                self._base_url + path,
                 data=data,
                 timeout=aiohttp.ClientTimeout(total=timeout_s),
             ) as response:
@@ -52,28 +52,28 @@
         try:
             return msgspec.json.decode(body, type=kind)
         except msgspec.DecodeError as error:
-            log.error("cloud: malformed %s dropped: %s", kind.__name__, error)
-            raise CloudError("malformed answer") from None
+            log.error("cloud: malformed %s ignored: %s", kind.__name__, error)
+            raise CloudError("malformed response") from None
 
     async def machine_types(self) -> wire.MachineTypes:
-        """The shapes and their current prices."""
+        """Read the machine types with their current prices."""
         return self._decode(wire.MachineTypes, *await self._call("GET", "/machine_types"))
 
     async def rent(self, request: wire.RentRequest) -> tuple[str, ...]:
-        """Rent machines; NoCapacityError if there are none."""
+        """Rent machines; raises NoCapacityError if the cloud has none available."""
         status, body = await self._call("POST", "/machines", request)
         if status == 503 and b"no capacity" in body:
             raise NoCapacityError
         return self._decode(wire.MachineNames, status, body).machines
 
     async def release(self, names: tuple[str, ...]) -> None:
-        """Return machines: after this they and everything on them are gone."""
+        """Release machines; when this returns, they and everything on them are gone."""
         status, body = await self._call("POST", "/machines/release", wire.MachineNames(names))
         if status != 200:
             raise CloudError(f"status {status}: {body[:100]!r}")
 
     async def list_page(self, after: str | None) -> wire.MachineList:
-        """A page of the machine list."""
-        more = f"after={after}&" if after is not None else ""
-        path = f"/machines?{more}limit={wire.MAX_MACHINES_PER_PAGE}"
+        """Read a page of the machine list, starting after the machine named ``after``."""
+        cursor = f"after={after}&" if after is not None else ""
+        path = f"/machines?{cursor}limit={wire.MAX_MACHINES_PER_PAGE}"
         return self._decode(wire.MachineList, *await self._call("GET", path))
