--- a/mosswalk/__main__.py
+++ b/mosswalk/__main__.py
@@ -1,4 +1,4 @@
-"""``python3 -m mosswalk``."""
+"""Runs the command line as ``python3 -m mosswalk``."""
 
 import sys
 
--- a/mosswalk/api/__init__.py
+++ b/mosswalk/api/__init__.py
@@ -1,4 +1,4 @@
-"""The port that users, workers and health checks speak to."""
+"""The HTTP application for users, workers, operators and health checks."""
 
 from __future__ import annotations
 
@@ -18,14 +18,15 @@
 
 _JSON = "application/json"
 _MAX_REPORT_BYTES = 4 * 1024 * 1024
+_MAX_ERROR_CHARS = 300
 _report_decoder = msgspec.json.Decoder(Report)
 
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 
 
 def error_body(text: str) -> bytes:
-    """A short error as JSON."""
-    return msgspec.json.encode(ErrorBody(text[:300]))
+    """Encode an error text, cut to a maximum length, as a JSON error body."""
+    return msgspec.json.encode(ErrorBody(text[:_MAX_ERROR_CHARS]))
 
 
 def _response(reply: Reply) -> web.Response:
@@ -35,7 +36,7 @@
 
 @web.middleware
 async def json_errors(request: web.Request, handler: Handler) -> web.StreamResponse:
-    """Every refusal is JSON; a failure of ours is a 503, never a traceback."""
+    """Turn HTTP errors into JSON bodies, and unexpected exceptions into a 503 without traceback."""
     try:
         return await handler(request)
     except web.HTTPException as error:
@@ -61,11 +62,15 @@
 def users_app(
     job_service: JobService,
     on_report: Callable[[Report], tuple[int, bytes]],
-    healthy: Callable[[], bool],
-    metrics: Callable[[], bytes],
-    peers: Callable[[], Struct] | None = None,
+    is_healthy: Callable[[], bool],
+    render_metrics: Callable[[], bytes],
+    detection_view: Callable[[], Struct] | None = None,
 ) -> web.Application:
-    """The application on ``serve_on``."""
+    """Build the application that is served on the address in the setting ``serve_on``.
+
+    ``on_report`` returns the status and body of the response to a worker's report.
+    ``detection_view`` is None if the failure detector is off.
+    """
 
     async def submit(request: web.Request) -> web.Response:
         body = await request.read()
@@ -83,26 +88,26 @@
         try:
             decoded = _report_decoder.decode(await request.read())
         except msgspec.DecodeError as error:
-            log.error("worker at %s: malformed report dropped: %s", request.remote, error)
+            log.error("worker at %s: malformed report rejected: %s", request.remote, error)
             return web.Response(status=400, body=error_body(str(error)), content_type=_JSON)
         status, body = on_report(decoded)
         return web.Response(status=status, body=body, content_type=_JSON)
 
     async def health(_request: web.Request) -> web.Response:
-        if healthy():
+        if is_healthy():
             return web.Response(body=b'{"ok":true}', content_type=_JSON)
         return web.Response(status=503, body=error_body("not ready"), content_type=_JSON)
 
     async def show_metrics(_request: web.Request) -> web.Response:
-        return web.Response(body=metrics(), content_type="text/plain")
+        return web.Response(body=render_metrics(), content_type="text/plain")
 
     async def show_peers(_request: web.Request) -> web.Response:
-        if peers is None:
+        if detection_view is None:
             body = error_body("the failure detector is off")
             return web.Response(status=404, body=body, content_type=_JSON)
-        return web.Response(body=msgspec.json.encode(peers()), content_type=_JSON)
+        return web.Response(body=msgspec.json.encode(detection_view()), content_type=_JSON)
 
-    # Reports of machines with many tasks may be larger than what users may send.
+    # Reports of machines with many tasks may be larger than any body that users may send.
     app = web.Application(client_max_size=_MAX_REPORT_BYTES, middlewares=[json_errors])
     app.router.add_post("/api/jobs", submit)
     app.router.add_get("/api/jobs/{id}", poll)
--- a/mosswalk/cli/__init__.py
+++ b/mosswalk/cli/__init__.py
@@ -1,7 +1,7 @@
-"""The command line: run a controller, check its settings, and talk to one as a user.
+"""The command line: run a controller, check its settings, or send requests to one as a user.
 
-Exit codes: 0 done; 1 the service said no (malformed, can never run, unknown job); 2 the command
-or the settings can't be used; 3 the service can't be reached or can't answer now.
+Exit codes: 0 success; 1 the service rejected the request (malformed, can never run, unknown job);
+2 the command or the settings are invalid; 3 the service is unreachable or unavailable.
 """
 
 from __future__ import annotations
@@ -61,15 +61,15 @@
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Run a command; its exit code."""
+    """Run a command; return its exit code."""
     options = _parser().parse_args(arguments)
     if options.command == "check":
         return _check(options.config, options.operator_config)
     if options.command == "serve":
         from mosswalk.cli.serve import main as serve
 
-        more = ["--operator-config", str(options.operator_config)]
-        return serve(["--config", str(options.config), *(more if options.operator_config else [])])
+        extra = ["--operator-config", str(options.operator_config)]
+        return serve(["--config", str(options.config), *(extra if options.operator_config else [])])
     from mosswalk.cli import client
 
     return asyncio.run(client.run(options))
--- a/mosswalk/cli/client.py
+++ b/mosswalk/cli/client.py
@@ -1,4 +1,4 @@
-"""The commands that talk to a controller: submit, status, withdraw and peers."""
+"""The commands that send a request to a controller: submit, status, withdraw and peers."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class _CommandError(Exception):
-    """The command can't be carried out as it was given."""
+    """The command's arguments are invalid."""
 
 
 def _request(options: argparse.Namespace) -> tuple[str, str, bytes | None]:
@@ -30,7 +30,7 @@
         except OSError as error:
             raise _CommandError(f"{options.file}: {error.strerror}") from None
         try:
-            # Told here, with the field's name, before anything is sent.
+            # A malformed job is rejected here, with the field's name, before anything is sent.
             decode_job(body)
         except InvalidJobError as error:
             raise _CommandError(f"{options.file}: {error}") from None
@@ -44,8 +44,8 @@
     return "POST", f"/api/jobs/{options.job}/withdraw", b""
 
 
-def _show(options: argparse.Namespace, text: str) -> int:
-    """Print a good answer."""
+def _print_answer(options: argparse.Namespace, text: str) -> int:
+    """Print the body of a successful response."""
     if options.command != "peers":
         print(text)
         return EXIT_OK
@@ -60,7 +60,7 @@
 
 
 async def run(options: argparse.Namespace) -> int:
-    """Carry out a user's command; its exit code."""
+    """Execute a user's command; return its exit code."""
     try:
         split_address(options.server)
         method, path, body = _request(options)
@@ -74,13 +74,13 @@
             session.request(method, f"http://{options.server}{path}", data=body) as response,
         ):
             text = (await response.read()).decode(errors="replace").strip()
-            status, retry = response.status, response.headers.get("Retry-After")
+            status, retry_after_s = response.status, response.headers.get("Retry-After")
     except (aiohttp.ClientError, TimeoutError, OSError) as error:
         reason = str(error) or "no answer in time"
         print(f"mosswalk: {options.server}: {reason}", file=sys.stderr)
         return EXIT_UNAVAILABLE
     if status in (200, 201):
-        return _show(options, text)
-    again = f" (try again after {retry} s)" if retry else ""
-    print(f"mosswalk: status {status}: {text}{again}", file=sys.stderr)
+        return _print_answer(options, text)
+    retry_hint = f" (try again after {retry_after_s} s)" if retry_after_s else ""
+    print(f"mosswalk: status {status}: {text}{retry_hint}", file=sys.stderr)
     return EXIT_REFUSED if status in (400, 404, 413, 422) else EXIT_UNAVAILABLE
--- a/mosswalk/cli/peers.py
+++ b/mosswalk/cli/peers.py
@@ -1,4 +1,4 @@
-"""What ``mosswalk peers`` prints: the other controllers, and who reaches whom."""
+"""Formats the output of ``mosswalk peers``: a table of the other controllers and a link matrix."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 from mosswalk.detection.view import DetectionView, MatrixCell, PeerView
 
-_PEER_TITLES = ("CONTROLLER", "STATE", "SUSPECTED", "FOR", "HEARD", "PATIENCE", "LEVEL", "WHY")
+_PEER_COLUMNS = ("CONTROLLER", "STATE", "SUSPECTED", "FOR", "HEARD", "PATIENCE", "LEVEL", "WHY")
 
 
-def _aligned(rows: Iterable[Sequence[str]]) -> str:
-    """Columns as wide as their widest cell."""
+def _format_columns(rows: Iterable[Sequence[str]]) -> str:
+    """Align the cells of a table; each column is as wide as its widest cell."""
     lines = [tuple(row) for row in rows]
     widths = [max(len(cell) for cell in column) for column in zip(*lines, strict=True)]
     return "\n".join(
@@ -34,29 +34,31 @@
     )
 
 
-def _matrix(cells: Sequence[MatrixCell]) -> str:
-    """One row an observer, one column a controller that it hears."""
+def _format_matrix(cells: Sequence[MatrixCell]) -> str:
+    """Format the link matrix: a row for each observer, a column for each observed controller."""
     nodes = sorted({cell.node for cell in cells})
     by_pair = {(cell.observer, cell.node): cell for cell in cells}
     rows = [("HEARS", *nodes)]
     for observer in sorted({cell.observer for cell in cells}):
         found = (by_pair.get((observer, node)) for node in nodes)
-        told = (f"{c.state} {c.last_heard_age_s:.1f} s" if c is not None else "-" for c in found)
-        rows.append((observer, *told))
-    return _aligned(rows)
+        entries = (f"{c.state} {c.last_heard_age_s:.1f} s" if c is not None else "-" for c in found)
+        rows.append((observer, *entries))
+    return _format_columns(rows)
 
 
 def format_detection_view(body: bytes) -> str:
-    """The text for a view; msgspec.DecodeError if it is none."""
+    """Format a response to GET /peers; raises msgspec.DecodeError if it is malformed."""
     view = msgspec.json.decode(body, type=DetectionView)
-    force = "in force" if view.active else "not in force: not all controllers take part"
+    activity = "in force" if view.active else "not in force: not all controllers take part"
     parts = [
-        f"{view.node}: term {view.term}, leader {view.leader or 'none'}; detection {force};"
+        f"{view.node}: term {view.term}, leader {view.leader or 'none'}; detection {activity};"
         f" stalls here {view.stalls}, freezes {view.freezes}",
-        _aligned([_PEER_TITLES, *map(_peer_row, view.peers)]),
-        _matrix(view.matrix),
+        _format_columns([_PEER_COLUMNS, *map(_peer_row, view.peers)]),
+        _format_matrix(view.matrix),
     ]
     for verdict in view.verdicts:
-        by = f", agreed by {', '.join(verdict.observers)}" if verdict.observers else ""
-        parts.append(f"verdict of this term: {verdict.node} ({verdict.run}): {verdict.reason}{by}")
+        observers = f", agreed by {', '.join(verdict.observers)}" if verdict.observers else ""
+        parts.append(
+            f"verdict of this term: {verdict.node} ({verdict.run}): {verdict.reason}{observers}"
+        )
     return "\n\n".join(parts)
--- a/mosswalk/cli/serve.py
+++ b/mosswalk/cli/serve.py
@@ -1,4 +1,4 @@
-"""Start a controller: what run.py does."""
+"""Starts a controller; the entry point behind run.py and ``mosswalk serve``."""
 
 from __future__ import annotations
 
@@ -15,22 +15,22 @@
 
 EXIT_SETTINGS = 2
 
-_LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
+_LOG_LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
 
 
 def set_up_logging() -> None:
-    """Log to standard error, as much as LOG_LEVEL says."""
-    level = _LEVELS.get(os.environ.get("LOG_LEVEL", "info").lower(), logging.INFO)
+    """Log to standard error at the level that LOG_LEVEL names; the default is info."""
+    level = _LOG_LEVELS.get(os.environ.get("LOG_LEVEL", "info").lower(), logging.INFO)
     logging.basicConfig(
         stream=sys.stderr, level=level, format="%(asctime)s %(levelname)s %(name)s: %(message)s"
     )
-    # Libraries' own chatter tells an operator nothing about mosswalk.
+    # Libraries' own messages below warning are of no use to operators of mosswalk.
     for name in ("aiohttp", "asyncio"):
         logging.getLogger(name).setLevel(max(level, logging.WARNING))
 
 
 def main(arguments: list[str]) -> int:
-    """Run a controller until it is killed; 2 if the settings can't be used."""
+    """Run a controller until it is killed; return 2 if the settings are invalid."""
     parser = argparse.ArgumentParser(prog="run.py", description="Start a mosswalk controller.")
     parser.add_argument("--config", required=True, type=Path, help="the platform's TOML file")
     parser.add_argument("--operator-config", type=Path, help="the operators' HCL file")
@@ -42,13 +42,14 @@
     except SettingsError as error:
         print(f"mosswalk: {error}", file=sys.stderr)
         return EXIT_SETTINGS
-    # Imported after the settings are known to be good, so that a bad file is told at once.
+    # Imported only after the settings have been checked, so that errors in them show at once.
     import uvloop
 
     from mosswalk.service import serve
 
-    # What start-up made stays: collecting it again and again would cost processor time. So would
-    # looking for cycles after each 700 objects, a part of a report: few of ours are in any.
+    # Objects made during start-up live as long as the process, so they are frozen: traversing them
+    # in each collection would waste processor time. The default threshold would start a collection
+    # after every 700 new objects, which is a part of one report; few objects are ever in a cycle.
     gc.collect()
     gc.freeze()
     gc.set_threshold(20_000, 20, 20)
--- a/run.py
+++ b/run.py
@@ -1,16 +1,16 @@
-"""Start mosswalk with what the build put under target/: its libraries, and its own byte code."""
+"""Starts mosswalk from what the build put under target/: dependencies and compiled byte code."""
 
 import os
 import sys
 from pathlib import Path
 
 _ROOT = Path(__file__).resolve().parent
-# The build's copy has its byte code ready. Where nothing was built, the checkout itself is run.
-_BUILT = _ROOT / "target" / "app"
-sys.path[:0] = [str(_BUILT if _BUILT.is_dir() else _ROOT), str(_ROOT / "target" / "deps")]
+# The build's copy contains compiled byte code. Without a build, the checkout itself is run.
+_BUILT_APP = _ROOT / "target" / "app"
+sys.path[:0] = [str(_BUILT_APP if _BUILT_APP.is_dir() else _ROOT), str(_ROOT / "target" / "deps")]
 
-# aiohttp reads the system's CA certificates when it is imported, which takes as long as all of
-# mosswalk's own modules. Nothing here speaks TLS, so none are needed.
+# aiohttp loads the system's CA certificates on import, which takes as long as importing all of
+# mosswalk's own modules. mosswalk uses no TLS, so it needs none of them.
 os.environ["SSL_CERT_FILE"] = os.devnull
 
 from mosswalk.cli.serve import main  # noqa: E402  (the path must be set first)
