--- a/mosswalk/metrics.py
+++ b/mosswalk/metrics.py
@@ -1,4 +1,4 @@
-"""Figures for operators, in Prometheus' text format, read off the actors when asked for."""
+"""Metrics for operators in Prometheus' text format, computed from the actors' state on request."""
 
 from __future__ import annotations
 
@@ -16,104 +16,113 @@
 _KB = 1024
 
 
-class Figure(Struct, frozen=True):
-    """One figure; those of the same name differ by their labels."""
+class Metric(Struct, frozen=True):
+    """One sample of a metric; samples of the same name differ by their labels."""
 
     name: str
-    text: str
+    help_text: str
     value: float
     labels: dict[str, str] = {}
 
 
 class Metrics:
-    """Collects on demand; nothing is counted on the hot paths."""
+    """Computes the metrics when they are requested, so that the hot paths count nothing."""
 
     def __init__(self, controller: Controller) -> None:
         self._controller = controller
 
-    def _figures(self) -> Iterable[Figure]:
+    def _collect(self) -> Iterable[Metric]:
         c = self._controller
         machines = c.manager.inventory.machines.values()
-        yield Figure("leads", "1 if this controller leads", float(c.leadership.leads()))
-        yield Figure("term", "The current term", float(c.leadership.term_number()))
+        yield Metric("leads", "1 if this controller is the leader", float(c.leadership.leads()))
+        yield Metric("term", "The current term", float(c.leadership.term_number()))
         version = c.leadership.term.version if c.leadership.term is not None else 0
-        yield Figure("version", "What all controllers can do: 2 includes gangs", float(version))
-        yield Figure("jobs_open", "Jobs that are not over", float(len(c.registry.jobs)))
-        yield Figure(
+        yield Metric("version", "Version that all controllers support; 2: gangs", float(version))
+        yield Metric("jobs_open", "Jobs that have not ended", float(len(c.registry.jobs)))
+        yield Metric(
             "attempts_live",
-            "Attempts that may be running",
+            "Attempts that may still run",
             float(sum(j.record.live_count for j in c.registry.jobs.values())),
         )
-        yield Figure(
+        yield Metric(
             "tasks_pending",
-            "Tasks waiting for a place",
+            "Tasks waiting to be placed",
             float(sum(j.pending_count() for j in c.registry.jobs.values() if j.open)),
         )
-        yield Figure(
+        yield Metric(
             "machines_up",
             "Machines that report",
             float(sum(1 for m in machines if m.phase == "up" and not m.releasing)),
         )
-        yield Figure(
+        yield Metric(
             "machines_coming",
             "Machines requested or booting",
             float(sum(1 for m in machines if m.phase != "up" and not m.releasing)),
         )
-        yield Figure(
+        yield Metric(
             "store_backlog",
-            "Changes waiting for the write budget",
+            "Changes in the write queues",
             float(c.writer.queue_length() + c.users_writer.queue_length()),
         )
 
-        yield Figure(
+        yield Metric(
             "memory_peak_bytes",
-            "The most memory that this process has held",
+            "Peak resident memory of this process",
             float(resource.getrusage(resource.RUSAGE_SELF).ru_maxrss * _KB),
         )
-        yield from self._detection_figures()
+        yield from self._collect_detection()
         limits = c.settings.params.machine_limits
-        yield Figure("memory_limit_bytes", "Above this the process is ended", limits.mem_mb * _MB)
+        yield Metric("memory_limit_bytes", "The process is killed above this", limits.mem_mb * _MB)
 
-    def _detection_figures(self) -> Iterable[Figure]:
+    def _collect_detection(self) -> Iterable[Metric]:
         if self._controller.detector is None:
             return
-        figures = self._controller.detector.metrics()
-        yield Figure("detection_suspicions", "Suspicions begun", figures.suspicions)
-        yield Figure(
-            "detection_false_suspicions", "Suspicions that ended", figures.false_suspicions
+        detection = self._controller.detector.metrics()
+        yield Metric(
+            "detection_suspicions", "Suspicions of other controllers", detection.suspicions
         )
-        yield Figure("detection_verdicts", "Verdicts given here by a quorum", figures.verdicts)
-        yield Figure(
+        yield Metric(
+            "detection_false_suspicions",
+            "Suspicions that were withdrawn",
+            detection.false_suspicions,
+        )
+        yield Metric(
+            "detection_verdicts", "Verdicts by quorum given by this controller", detection.verdicts
+        )
+        yield Metric(
             "detection_time_to_verdict_seconds",
-            "From the last sign of life to the last verdict",
-            figures.time_to_verdict_s,
+            "Time from the last message of a controller to the latest verdict, which was on it",
+            detection.time_to_verdict_s,
         )
-        yield Figure("detection_stalls", "Times this process was late itself", figures.stalls)
-        yield Figure(
-            "detection_freezes", "Times authority was withheld after a stall", figures.freezes
+        yield Metric("detection_stalls", "Stalls of this process", detection.stalls)
+        yield Metric(
+            "detection_freezes", "Stalls after which authority was withheld", detection.freezes
         )
-        yield Figure(
+        yield Metric(
             "detection_renewals_beside",
-            "Times the lease was renewed beside the main loop",
-            figures.background_renewals,
+            "Lease renewals by the background thread",
+            detection.background_renewals,
         )
-        for node, level in figures.suspicion_levels.items():
-            yield Figure(
-                "detection_level", "Silence in parts of the patience", level, {"peer": node}
+        for node, level in detection.suspicion_levels.items():
+            yield Metric(
+                "detection_level",
+                "Silence of a peer as a fraction of its timeout",
+                level,
+                {"peer": node},
             )
 
     def render(self) -> bytes:
-        """The text an operator's collector reads."""
-        # Imported when first asked for: it costs start-up time and memory.
+        """Render all metrics in Prometheus' text format."""
+        # Imported on the first request, since it costs start-up time and memory.
         from prometheus_client import CollectorRegistry, Gauge, generate_latest
 
         registry = CollectorRegistry()
         gauges: dict[str, Gauge] = {}
-        for figure in self._figures():
-            gauge = gauges.get(figure.name)
+        for metric in self._collect():
+            gauge = gauges.get(metric.name)
             if gauge is None:
-                name = f"mosswalk_{figure.name}"
-                gauge = Gauge(name, figure.text, list(figure.labels), registry=registry)
-                gauges[figure.name] = gauge
-            (gauge.labels(**figure.labels) if figure.labels else gauge).set(figure.value)
+                name = f"mosswalk_{metric.name}"
+                gauge = Gauge(name, metric.help_text, list(metric.labels), registry=registry)
+                gauges[metric.name] = gauge
+            (gauge.labels(**metric.labels) if metric.labels else gauge).set(metric.value)
         return generate_latest(registry)
--- a/mosswalk/service.py
+++ b/mosswalk/service.py
@@ -1,4 +1,4 @@
-"""Puts the actors of one controller together."""
+"""Constructs one controller from its parts, connects them, and serves it."""
 
 from __future__ import annotations
 
@@ -41,42 +41,50 @@
 log = logging.getLogger(__name__)
 
 
-# The part of the writes that placings and outcomes may use.
-_WORK_SHARE = 0.85
-# Workers and users are heard every few seconds: one silent for longer is cut off or gone, and
-# its half-open connection must not keep a socket for long.
+# The share of the write rate that placements and outcomes may use.
+_SCHEDULING_WRITE_SHARE = 0.85
+# Workers and users send a request every few seconds. One that sends none for longer is cut off or
+# dead, and its half-open connection must not occupy a socket for long.
 _KEEPALIVE_S = 30.0
 
 
 class Controller:
-    """One controller; everything it needs is handed in, so that tests can stand in for it."""
+    """One controller and its parts; clients, clock and randomness can be replaced by tests.
+
+    ``command_http`` sends commands to workers; ``http`` sends everything else.
+    """
 
     def __init__(
         self,
         settings: Settings,
-        session: aiohttp.ClientSession,
-        orders: aiohttp.ClientSession,
+        http: aiohttp.ClientSession,
+        command_http: aiohttp.ClientSession,
         clock: Clock,
         rng: random.Random,
     ) -> None:
         params = settings.params
         self.settings = settings
-        self.client = StateClient(session, settings.outside.state, params.state.rps, clock)
-        self.mirror = Mirror(self.client, clock, rng)
-        # Users' own changes do not queue behind placings, and placings leave room for them: the
-        # service counts the writes of all controllers together.
+        self.state_client = StateClient(http, settings.outside.state, params.state.rps, clock)
+        self.mirror = Mirror(self.state_client, clock, rng)
+        # Users' changes have a write queue of their own, so that they don't wait behind placements.
+        # Placements use only a share of the rate, so that they leave some for users' changes: the
+        # state service limits the writes of all controllers together.
         self.users_writer = GroupWriter(
-            self.client, clock, rng, params.state.write_rps, params.state.txn_ops
+            self.state_client, clock, rng, params.state.write_rps, params.state.txn_ops
         )
         self.writer = GroupWriter(
-            self.client, clock, rng, _WORK_SHARE * params.state.write_rps, params.state.txn_ops
+            self.state_client,
+            clock,
+            rng,
+            _SCHEDULING_WRITE_SHARE * params.state.write_rps,
+            params.state.txn_ops,
         )
         self.registry = JobRegistry(self.mirror)
-        self.leadership = Leadership(settings, self.client, self.mirror, clock, rng)
+        self.leadership = Leadership(settings, self.state_client, self.mirror, clock, rng)
         self.owner = Owner(
             settings, self.mirror, self.registry, self.writer, self.leadership, clock
         )
-        self.peers = PeerClient(session, settings)
+        self.peers = PeerClient(http, settings)
         self.manager = FleetManager(
             settings,
             self.mirror,
@@ -85,11 +93,11 @@
             self.leadership,
             self.owner,
             self.peers,
-            orders,
+            command_http,
             clock,
         )
         self.cloud = CloudCaller(
-            CloudClient(session, settings.outside.cloud),
+            CloudClient(http, settings.outside.cloud),
             clock,
             rng,
             params.cloud.rps,
@@ -99,7 +107,7 @@
         )
         self.manager.cloud = self.cloud
         self.job_service = JobService(
-            settings, self.client, self.mirror, self.users_writer, clock, rng
+            settings, self.state_client, self.mirror, self.users_writer, clock, rng
         )
         self.health = Health(
             [peer.host_name for peer in settings.known],
@@ -107,14 +115,14 @@
             lambda: self.mirror.confirmed_until_us,
             clock,
             self.leadership.leads,
-            self._note_unreachable,
-            self._visitors_elsewhere,
+            self._on_unreachable,
+            self._on_stray_workers,
         )
         self.detector: Detector | None = None
         tuning = settings.tuning.detection
         if tuning is not None:
-            self.detector = self._detector(tuning, clock, rng)
-        self.job_service.poll_other_controller = self._poll_elsewhere
+            self.detector = self._create_detector(tuning, clock, rng)
+        self.job_service.poll_other_controller = self._poll_other_controller
         self.job_service.gangs_allowed = self.leadership.gangs_allowed
         self.withdrawal_broadcast = WithdrawalBroadcast(
             [peer.host_name for peer in settings.known],
@@ -129,78 +137,84 @@
             self.leadership.leader()
         )
         follower_reports.no_peer_reaches_state_service = self.health.state_service_unavailable
-        # Followers need not hear of each change at once: with many controllers, their watches
-        # would take most of the requests that the state service allows.
+        # Followers need not learn of each change at once: with many controllers, their watch
+        # requests would use up most of the rate that the state service allows.
         self.mirror.wants_prompt_updates = lambda: (
             self.leadership.leads() or self.leadership.owns_any_team()
         )
         self.metrics = Metrics(self)
 
-    def healthy(self) -> bool:
-        """Whether users' requests can be taken here."""
+    def is_healthy(self) -> bool:
+        """Whether this controller can handle users' requests."""
         return self.mirror.loaded and not self.health.isolated
 
-    def _detector(self, tuning: DetectionTuning, clock: Clock, rng: random.Random) -> Detector:
-        # Imported here: without it, it must cost nothing.
+    def _create_detector(
+        self, tuning: DetectionTuning, clock: Clock, rng: random.Random
+    ) -> Detector:
+        # Imported here, so that the failure detector costs nothing where it is off.
         from mosswalk.detection.detector import Detector
         from mosswalk.detection.fence import AuthorityFence, CommitGate
 
         fence = AuthorityFence(to_us(tuning.floor_s), clock, self.leadership)
         detector = Detector(
-            self.settings, tuning, self.leadership, fence, self.peers, self.client, clock, rng
+            self.settings, tuning, self.leadership, fence, self.peers, self.state_client, clock, rng
         )
         self.leadership.authority = fence
         self.leadership.failure_detector = detector
         self.writer.gate = self.users_writer.gate = CommitGate(fence, self.mirror)
         return detector
 
-    def _note_unreachable(self, nodes: frozenset[str]) -> None:
-        """Two failed tries of the leader are a verdict only where no failure detector gives one."""
+    def _on_unreachable(self, nodes: frozenset[str]) -> None:
+        """Handle controllers that this leader failed to reach twice in a row.
+
+        Without an active failure detector they get no teams in the next term; with one, only its
+        verdicts count.
+        """
         if self.detector is None or not self.detector.is_active():
             self.leadership.note_unreachable(nodes)
 
     def peer_status(self, heartbeat: Heartbeat | None) -> PeerStatus:
-        """What this controller sees, for another one that asks."""
-        fresh, strays = (
+        """Answer another controller's request for this one's status."""
+        is_served, stray_workers = (
             self.health.is_served(),
             self.manager.follower_reports.recent_workers.count(),
         )
         answer = None
         if heartbeat is not None and self.detector is not None:
             answer = self.detector.handle_heartbeat(heartbeat)
-        return PeerStatus(fresh, strays, UNSET if answer is None else answer)
+        return PeerStatus(is_served, stray_workers, UNSET if answer is None else answer)
 
     def apply_peer_withdrawals(self, message: Withdrawals) -> None:
-        """Another controller has told users of withdrawals: put them into the mirror.
+        """Apply withdrawals that another controller has confirmed to users to the mirror.
 
-        What they bring is committed, so the watch will show the same or something newer.
+        Their records are committed, so the watch will show the same or newer ones.
         """
         for withdrawal in message.withdrawals:
             key = records.job_key(withdrawal.job)
             self.mirror.apply_response(key, withdrawal.record, withdrawal.revision)
         self.mirror.notify_batch_applied()
 
-    def _visitors_elsewhere(self, count: int) -> None:
+    def _on_stray_workers(self, count: int) -> None:
         if self.manager.is_unreachable_for_workers(count):
             self.leadership.hand_over()
 
-    async def _poll_elsewhere(self, job_id: str) -> PollAnswer | None:
+    async def _poll_other_controller(self, job_id: str) -> PollAnswer | None:
         node = self.health.served_peer
         if node is None:
             return None
         try:
             return await self.peers.poll(node, job_id)
         except PeerError as error:
-            log.debug("poll not asked of %s: %s", node, error)
+            log.debug("passing a poll on to %s failed: %s", node, error)
             return None
 
     def web_apps(self) -> tuple[web.Application, web.Application]:
-        """The applications for users and workers, and for other controllers."""
+        """Build the web applications for users and workers, and for other controllers."""
         detector = self.detector
         users = users_app(
             self.job_service,
             self.manager.answer_report,
-            self.healthy,
+            self.is_healthy,
             self.metrics.render,
             detector.view if detector is not None else None,
         )
@@ -214,12 +228,12 @@
         )
 
     def background_loops(self) -> list[Coroutine[Any, Any, None]]:
-        """All that runs for ever.
+        """Create the coroutines that run as long as the process.
 
-        The writers alone are not begun again when they fail: commits under way would be
-        left without a kind, so the process ends.
+        All but the writers are restarted when they fail. A writer that fails leaves commits with an
+        unknown outcome, so its failure ends the process.
         """
-        kept = [
+        restartable = [
             self.mirror.run,
             self.leadership.keep_lease,
             self.leadership.run,
@@ -232,11 +246,18 @@
         ]
         if self.detector is not None:
             fence = self.detector.fence
-            kept += [self.detector.run, fence.run, fence.run_confirmations]
-        return [self.writer.run(), self.users_writer.run(), *(run_forever(loop) for loop in kept)]
+            restartable += [self.detector.run, fence.run, fence.run_confirmations]
+        return [
+            self.writer.run(),
+            self.users_writer.run(),
+            *(run_forever(loop) for loop in restartable),
+        ]
 
     def start_lease_renewer(self) -> None:
-        """Renew the lease from a thread when the main loop is late."""
+        """Start the thread that renews the lease while the event loop is late.
+
+        Does nothing if the failure detector is off.
+        """
         if self.detector is None:
             return
         from mosswalk.detection.renewer import LeaseRenewer
@@ -256,7 +277,10 @@
 
 
 async def listen(app: web.Application, address: str, backlog: int = 512) -> web.AppRunner:
-    """Serve an application; after a takeover up to ``backlog`` connections come at once."""
+    """Serve an application on an address.
+
+    ``backlog`` connections can wait to be accepted: after a takeover many arrive at once.
+    """
     runner = web.AppRunner(
         app,
         access_log=None,
@@ -270,21 +294,23 @@
     return runner
 
 
-def _session(most: int) -> aiohttp.ClientSession:
-    connector = aiohttp.TCPConnector(limit=most, limit_per_host=0, keepalive_timeout=_KEEPALIVE_S)
+def _http_session(max_connections: int) -> aiohttp.ClientSession:
+    connector = aiohttp.TCPConnector(
+        limit=max_connections, limit_per_host=0, keepalive_timeout=_KEEPALIVE_S
+    )
     return aiohttp.ClientSession(connector=connector)
 
 
 async def serve(settings: Settings) -> None:
     """Run a controller until it is killed."""
     budget = socket_budget(settings.params.machine_limits.max_connections)
-    async with _session(budget.calls) as session, _session(budget.commands) as orders:
-        controller = Controller(settings, session, orders, SystemClock(), random.Random())
+    async with _http_session(budget.calls) as http, _http_session(budget.commands) as command_http:
+        controller = Controller(settings, http, command_http, SystemClock(), random.Random())
         users, peers = controller.web_apps()
-        most = settings.params.machine_limits.max_connections
-        await listen(users, settings.serve_on, most)
-        await listen(peers, settings.cluster_listen, most)
+        max_connections = settings.params.machine_limits.max_connections
+        await listen(users, settings.serve_on, max_connections)
+        await listen(peers, settings.cluster_listen, max_connections)
         controller.start_lease_renewer()
-        log.info("%s serves on %s", settings.host_name, settings.serve_on)
-        # None of these ever returns.
+        log.info("%s is serving on %s", settings.host_name, settings.serve_on)
+        # No loop returns.
         await asyncio.gather(*controller.background_loops())
