--- a/mosswalk/cloud/actor.py
+++ b/mosswalk/cloud/actor.py
@@ -31,7 +31,11 @@
 
 
 class RentResult(Struct):
-    """The machines of a rental; fewer than ``groups`` if the cloud had too few."""
+    """The machines of a rental; fewer than ``groups`` if the cloud had too few.
+
+    ``groups`` has, for each machine requested, the number of the rental group it belongs to.
+    ``pool`` is the machine type, the zone and whether the machines are spot machines.
+    """
 
     groups: tuple[int, ...]
     pool: tuple[str, str, bool]
--- a/mosswalk/cloud/bucket.py
+++ b/mosswalk/cloud/bucket.py
@@ -11,7 +11,7 @@
     def __init__(self, rate: float, burst: float, now_us: int) -> None:
         self._interval_us = SECOND_US / rate
         self._burst_us = burst * self._interval_us
-        # The instant at which the bucket was last empty; in the future if tokens were taken ahead.
+        # The instant since which tokens have accumulated; in the future if tokens were taken ahead.
         self._empty_at_us = now_us - self._burst_us
 
     def change_rate(self, rate: float, now_us: int) -> None:
--- a/mosswalk/metrics.py
+++ b/mosswalk/metrics.py
@@ -91,7 +91,7 @@
         )
         yield Metric(
             "detection_time_to_verdict_seconds",
-            "Time from the last message of a controller to the latest verdict, which was on it",
+            "Time from a controller's last message to the latest verdict that declared it dead",
             detection.time_to_verdict_s,
         )
         yield Metric("detection_stalls", "Stalls of this process", detection.stalls)
--- a/mosswalk/wire/peers.py
+++ b/mosswalk/wire/peers.py
@@ -103,12 +103,14 @@
 
 
 class PeerStatus(Struct, frozen=True):
-    """The sender's own status: whether the state service serves it, and what reaches it."""
+    """The sender's own status: whether the state service serves it, and which workers report to it.
+
+    The heartbeat is present if the failure detector is on and the other controller sent its own.
+    """
 
     state_is_fresh: bool = field(name="fresh")
     # The number of machines whose workers reported to it recently although it does not lead.
     stray_workers: int = field(name="visitors", default=0)
-    # Sent to controllers that sent theirs, if the failure detector is on.
     heartbeat: Heartbeat | UnsetType = UNSET
 
 
--- a/mosswalk/wire/workers.py
+++ b/mosswalk/wire/workers.py
@@ -37,7 +37,7 @@
 
 
 class Command(Struct, frozen=True, omit_defaults=True, gc=False):
-    """A command from the leader to a worker about one task attempt."""
+    """A command to a worker about one task attempt."""
 
     op: Literal["run", "kill", "reap"] = field(name="verb")
     task: str = field(name="piece")
