--- a/mosswalk/cloud/actor.py
+++ b/mosswalk/cloud/actor.py
@@ -147,14 +147,14 @@
                 )
         self._on_result(RentResult(groups, pool, machines))
 
-    def release(self, names: list[str], *, needs_state_service: bool = True) -> None:
+    def release(self, names: list[str], *, requires_state_service: bool = True) -> None:
         """Release machines; the call is repeated until the cloud confirms it.
 
-        With ``needs_state_service`` false, they are released even while the state service does not
+        With ``requires_state_service`` false, they are released even while the state service does not
         answer.
         """
         self._releases.update(names)
-        if not needs_state_service:
+        if not requires_state_service:
             self._urgent_releases.update(names)
         self._release_wake.set()
 
--- a/mosswalk/fleet/manager.py
+++ b/mosswalk/fleet/manager.py
@@ -508,7 +508,7 @@
         elif requires_state_service:
             return
         if self.cloud is not None:
-            self.cloud.release([machine.name], needs_state_service=requires_state_service)
+            self.cloud.release([machine.name], requires_state_service=requires_state_service)
 
     def _release_if_unused(self, release: Release) -> None:
         machine = self.inventory.machines.get(release.machine)
--- a/tests/test_cloud.py
+++ b/tests/test_cloud.py
@@ -68,12 +68,12 @@
         )
         work = asyncio.create_task(caller.run_releases())
         caller.release(["vm-1", "vm-2"])
-        caller.release(["vm-1"], needs_state_service=False)
+        caller.release(["vm-1"], requires_state_service=False)
         await asyncio.sleep(0.6)
         assert cloud.calls == [("vm-1",)] and told == [ReleaseResult(("vm-1",))]
         # But not by one whose time to lead without it is over.
         may_end = False
-        caller.release(["vm-3"], needs_state_service=False)
+        caller.release(["vm-3"], requires_state_service=False)
         await asyncio.sleep(0.6)
         assert cloud.calls == [("vm-1",)]
         work.cancel()
--- a/tests/test_desk.py
+++ b/tests/test_desk.py
@@ -23,7 +23,7 @@
         # Nobody empties its queue, at 10 writes a second.
         writer = GroupWriter(client, clock, rng, 10.0, 4)
         job_service = JobService(settings, client, mirror, writer, clock, rng)
-        job_service._types_changed("", records.encode([machine_type()]), 1)
+        job_service._on_machine_types("", records.encode([machine_type()]), 1)
         team = settings.params.teams[0].name
 
         def submit(i):
--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -51,7 +51,7 @@
         super().__init__()
         self.mirror = MirrorOf()
         self.registry = JobRegistry(self.mirror)
-        record = new_record(job_spec(tasks=TASKS), 5, chunk=7)
+        record = new_record(job_spec(tasks=TASKS), 5, chunk_size=7)
         self.key = records.job_key("j-000001")
         self.mirror.commit(Change({self.key: 0}, {self.key: Raw(records.encode(record))}))
         self.live = {}
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -161,7 +161,7 @@
     zone = manager._settings.zone
     released = []
     manager.cloud = SimpleNamespace(
-        release=lambda names, needs_state_service: released.extend(names)
+        release=lambda names, requires_state_service: released.extend(names)
     )
     for machine in manager.inventory.machines.values():
         machine.zone = zone
@@ -194,7 +194,7 @@
     """Seen on a recorded day: an outage of 52 s ended, and in that second all were released."""
     manager, clock, released = led.manager, led.clock, []
     manager.cloud = SimpleNamespace(
-        release=lambda names, needs_state_service: released.extend(names)
+        release=lambda names, requires_state_service: released.extend(names)
     )
     led.leadership.may_renew_worker_leases = lambda: False
     for _ in range(104):
