--- a/mosswalk/cloud/actor.py
+++ b/mosswalk/cloud/actor.py
@@ -150,8 +150,8 @@
     def release(self, names: list[str], *, requires_state_service: bool = True) -> None:
         """Release machines; the call is repeated until the cloud confirms it.
 
-        With ``requires_state_service`` false, they are released even while the state service does not
-        answer.
+        With ``requires_state_service`` false, they are released even while the state service does
+        not answer.
         """
         self._releases.update(names)
         if not requires_state_service:
