--- a/mosswalk/jobs/admission.py
+++ b/mosswalk/jobs/admission.py
@@ -10,16 +10,16 @@
 from mosswalk.wire.users import ARRAY, GANG, JobSpec
 
 
-def fits_machine_type(spec: JobSpec, machine: MachineType) -> bool:
+def fits_machine_type(spec: JobSpec, machine_type: MachineType) -> bool:
     """Whether one task fits an empty machine of this type, and the job may run on it."""
-    if spec.types is not None and machine.name not in spec.types:
+    if spec.types is not None and machine_type.name not in spec.types:
         return False
-    if spec.zone is not None and spec.zone not in machine.zones:
+    if spec.zone is not None and spec.zone not in machine_type.zones:
         return False
     return (
-        milli_ceil(spec.cpus) <= milli_floor(machine.cpus)
-        and milli_ceil(spec.gpus) <= milli_floor(machine.gpus)
-        and milli_ceil(spec.memory_gb) <= milli_floor(machine.memory_gb)
+        milli_ceil(spec.cpus) <= milli_floor(machine_type.cpus)
+        and milli_ceil(spec.gpus) <= milli_floor(machine_type.gpus)
+        and milli_ceil(spec.memory_gb) <= milli_floor(machine_type.memory_gb)
     )
 
 
@@ -28,11 +28,15 @@
     if not spec.spread or spec.tasks == 1:
         return True
     zones = {
-        zone for machine in types if fits_machine_type(spec, machine) for zone in machine.zones
+        zone
+        for machine_type in types
+        if fits_machine_type(spec, machine_type)
+        for zone in machine_type.zones
     }
     if spec.zone is not None:
         zones &= {spec.zone}
-    # A job that is spread may have at most half of its tasks, rounded up, in one zone.
+    # A job that is spread may have at most half of its tasks, rounded up, in one zone, so it needs
+    # at least two.
     return not spec.one_zone and len(zones) > 1
 
 
@@ -43,7 +47,7 @@
     team = teams.get(spec.team)
     if team is None:
         return f"owner: no team {spec.team}"
-    if not any(fits_machine_type(spec, machine) for machine in types):
+    if not any(fits_machine_type(spec, machine_type) for machine_type in types):
         return "a task fits no allowed machine type"
     if spec.kind == GANG and not _has_zones_for_all_tasks(spec, types):
         return "no zones could hold all tasks together"
--- a/mosswalk/jobs/layout.py
+++ b/mosswalk/jobs/layout.py
@@ -42,15 +42,15 @@
 def split_records(job: Job, limits: RecordLimits) -> SplitRecords:
     """Split a job's tasks into chunks that fit the limits."""
     size = records.chunk_size(limits, job.spec)
-    done = 0
+    done_mask = 0
     for number in job.chunk_numbers():
-        done |= job.tasks_of(number).done_mask() << (number * job.record.chunk_size)
+        done_mask |= job.tasks_of(number).done_mask() << (number * job.record.chunk_size)
     live: dict[int, list[Attempt]] = {}
     for attempt in job.live_attempts():
         live.setdefault(attempt.task // size, []).append(attempt)
     chunks: dict[int, TaskChunk] = {}
     for number in range(-(-job.spec.tasks // size)):
-        mask = done >> (number * size) & ((1 << size) - 1)
+        mask = done_mask >> (number * size) & ((1 << size) - 1)
         tasks = TaskChunk(f"{mask:x}", tuple(live.get(number, ())))
         if number == 0 or tasks != TaskChunk():
             chunks[number] = tasks
--- a/mosswalk/jobs/registry.py
+++ b/mosswalk/jobs/registry.py
@@ -34,8 +34,9 @@
 
     def __init__(self, mirror: Mirror) -> None:
         self.jobs: dict[str, Job] = {}
-        # The next three are updated with each change of a job, as they are read many times a second
-        # and a job changes seldom. Open jobs with tasks to be placed, by team and id.
+        # The next three are updated with each change of a job, because they are read many times a
+        # second while a job changes seldom.
+        # Open jobs with tasks to be placed, by team and id.
         self.unplaced: dict[str, dict[str, Job]] = {}
         # Jobs that are not open any more, by id.
         self.withdrawn: dict[str, Job] = {}
@@ -70,16 +71,16 @@
         for attempt in previous:
             if attempt not in current:
                 changed.add(attempt.machine)
-                on_machine = self.attempts_by_machine.get(attempt.machine)
-                if on_machine is not None:
-                    on_machine.pop((job_id, attempt.task, attempt.number), None)
-                    if not on_machine:
+                machine_attempts = self.attempts_by_machine.get(attempt.machine)
+                if machine_attempts is not None:
+                    machine_attempts.pop((job_id, attempt.task, attempt.number), None)
+                    if not machine_attempts:
                         del self.attempts_by_machine[attempt.machine]
         known_attempts = set(previous)
         added = [a for a in live if a not in known_attempts]
         for attempt in added:
-            on_machine = self.attempts_by_machine.setdefault(attempt.machine, {})
-            on_machine[(job_id, attempt.task, attempt.number)] = attempt
+            machine_attempts = self.attempts_by_machine.setdefault(attempt.machine, {})
+            machine_attempts[(job_id, attempt.task, attempt.number)] = attempt
             changed.add(attempt.machine)
         for callback in self.on_machine_changed:
             for machine in changed:
@@ -160,8 +161,8 @@
         # An attempt that moved may be added with its new chunk first and then removed with its old
         # one. Add it again.
         for attempt in job.live_attempts():
-            on_machine = self.attempts_by_machine.setdefault(attempt.machine, {})
-            on_machine[(job_id, attempt.task, attempt.number)] = attempt
+            machine_attempts = self.attempts_by_machine.setdefault(attempt.machine, {})
+            machine_attempts[(job_id, attempt.task, attempt.number)] = attempt
         return [attempt for attempt in added if attempt not in known_attempts]
 
     def _notify_end(self, previous: Job | None, job: Job) -> None:
@@ -175,23 +176,23 @@
                 callback(job)
 
     def _chunk_changed(self, key: str, value: bytes | None, _version: int) -> None:
-        chunk = records.parse_chunk_key(key)
-        job_id, number = chunk.job, chunk.chunk
+        chunk_id = records.parse_chunk_key(key)
+        job_id, number = chunk_id.job, chunk_id.chunk
         chunks = self._chunks.setdefault(job_id, {})
         job = self.jobs.get(job_id)
-        current = job is not None and job.record.layout == chunk.layout
+        in_current_layout = job is not None and job.record.layout == chunk_id.layout
         if value is None:
-            chunks.pop((chunk.layout, number), None)
+            chunks.pop((chunk_id.layout, number), None)
             if not chunks:
                 del self._chunks[job_id]
-            if job is not None and current:
+            if job is not None and in_current_layout:
                 job.chunks.pop(number, None)
-            if current or job is None:
+            if in_current_layout or job is None:
                 self._index_chunk(job_id, number, ())
             return
         tasks = records.decode_chunk(value)
-        chunks[(chunk.layout, number)] = tasks
-        if job is not None and current:
+        chunks[(chunk_id.layout, number)] = tasks
+        if job is not None and in_current_layout:
             job.chunks[number] = tasks
             self._notify_added(job, self._index_chunk(job_id, number, tasks.live))
 
@@ -200,8 +201,8 @@
         found: list[OrphanedChunk] = []
         for job_id, chunks in self._chunks.items():
             job = self.jobs.get(job_id)
-            # The header's version is the number of its next layout, whose chunks may be in the
-            # course of being written.
+            # If the job is being split, the header's version is the number of the new layout, whose
+            # chunks are written before the header names it.
             valid_layouts = (job.record.layout, job.version) if job is not None else ()
             for layout, number in chunks:
                 if layout not in valid_layouts:
--- a/mosswalk/jobs/state.py
+++ b/mosswalk/jobs/state.py
@@ -84,7 +84,8 @@
         self.is_gang = spec.kind == GANG
         # How many of its tasks must be placed together: 1 unless it is a gang.
         self.gang_size = spec.tasks if self.is_gang else 1
-        # Its sort key in the team's queue, after the QueueOrder and the interval it is valid for.
+        # Cached by QueueOrder: the order that computed it, the interval in which it is valid, and
+        # the sort key in the team's queue.
         self.cached_queue_key: tuple[object, int, tuple[int, bool, int, int, str]] | None = None
 
     @property
@@ -120,7 +121,7 @@
         return index // self.record.chunk_size
 
     def tasks_of(self, chunk: int) -> TaskChunk:
-        """The tasks of a chunk; in one that was never written all are pending."""
+        """The tasks of a chunk; if the chunk was never written, all of them are pending."""
         if chunk == 0:
             return self.record.tasks
         return self.chunks.get(chunk, TaskChunk())
