--- a/mosswalk/leadership/actor.py
+++ b/mosswalk/leadership/actor.py
@@ -119,9 +119,9 @@
         self._controllers = (self.node, *(peer.host_name for peer in settings.known))
         self._presences_changed_at_us = 0
         # Lines already logged in the current term.
-        self._logged_in_term = 0
+        self._logged_term_number = 0
         self._logged_lines: set[str] = set()
-        # The highest term above its own that a worker reported to this controller as leader.
+        # The highest term that a worker reported while this controller led a lower one.
         self._highest_observed_term = 0
         # Terms up to this number are to be replaced by a new one.
         self._superseded_term = 0
@@ -307,7 +307,7 @@
         if self._presence_mismatches < _MAX_PRESENCE_MISMATCHES or self.lease is None:
             # The mirror may only lag behind.
             return
-        log.info("presence of this controller shows %s: writing it again", visible)
+        log.info("own presence is missing or of another run (%s): writing it again", visible)
         await self._write_presence(self.lease)
         self._presence_mismatches = 0
 
@@ -370,8 +370,8 @@
     def _log_once(self, line: str) -> None:
         """Log a line at info level once per term: attempts are repeated throughout an outage."""
         term_number = self.term_number()
-        if term_number != self._logged_in_term:
-            self._logged_in_term = term_number
+        if term_number != self._logged_term_number:
+            self._logged_term_number = term_number
             self._logged_lines.clear()
         level = logging.DEBUG if line in self._logged_lines else logging.INFO
         self._logged_lines.add(line)
@@ -426,7 +426,7 @@
                 await self._campaign("all controllers support failure detection", detects=True)
 
     async def _release_leadership(self) -> None:
-        """Delete the leader's key; the next leader makes a new term, which invalidates this one."""
+        """Delete the leader's key; the next leader's new term invalidates the current one."""
         self._handover_requested = False
         if not self.leads():
             return
--- a/mosswalk/leadership/terms.py
+++ b/mosswalk/leadership/terms.py
@@ -42,13 +42,16 @@
     if len(names) <= 1:
         return dict.fromkeys(names, leader)
     suspected_nodes = nodes.intersection(suspected) - {leader}
-    kept = {
+    retained_owners = {
         team: previous_owners[team]
         for team in names
         if previous_owners.get(team) in suspected_nodes
     }
-    names = [team for team in names if team not in kept]
-    return {**kept, **_distribute(names, leader, nodes - suspected_nodes, previous_owners)}
+    names = [team for team in names if team not in retained_owners]
+    return {
+        **retained_owners,
+        **_distribute(names, leader, nodes - suspected_nodes, previous_owners),
+    }
 
 
 def _distribute(
