--- a/mosswalk/placement/capacity.py
+++ b/mosswalk/placement/capacity.py
@@ -29,7 +29,8 @@
     fetch_s_per_gb: float = 0.0
     # To be drained: used only when nothing else fits.
     cordoned: bool = False
-    # CPUs used by replicas. These stay, so another replica here keeps no further machine rented.
+    # CPUs used by replicas. Replicas run long, so the machine stays rented anyway, and another
+    # replica here does not prevent a further machine from being released.
     replica_cpus: int = 0
     # Jobs with a claim on this capacity: overdue ones, and those that attempts were stopped for.
     claimed_by: frozenset[str] = frozenset()
@@ -120,7 +121,8 @@
 def zone_rule(job: Job, zones_by_machine: Mapping[str, str]) -> ZoneRule | None:
     """The zone rule for a job; None if the zone of one of its machines is not known yet.
 
-    Such an attempt might be in any zone, so a job with zone requirements then has to wait.
+    An attempt on such a machine might be in any zone, so a job with zone requirements has to wait
+    until the zone is known.
     """
     spec = job.spec
     rule = new_zone_rule(spec)
--- a/mosswalk/placement/owner.py
+++ b/mosswalk/placement/owner.py
@@ -38,12 +38,12 @@
 log = logging.getLogger(__name__)
 
 # While the write rate is exhausted, outcomes of completed tasks are deferred for up to this time if
-# their job continues: a change of a job costs the same for one task as for many.
+# their job continues: each change of a job costs a write, however many of its tasks it covers.
 _MAX_DEFERRAL_US = 2 * SECOND_US
 # How long it may take to write the outcomes of a round that is limited in favour of prod work, and
-# how many jobs such a round changes at least.
+# the lowest limit on the number of jobs that such a round changes.
 _LIMITED_ROUND_WRITE_S = 0.8
-_MIN_JOBS_PER_ROUND = 8
+_MIN_JOB_LIMIT = 8
 # The tasks of a gang are reported done within about this time of each other.
 _MAX_GANG_DEFERRAL_US = 700_000
 # How often jobs are checked for records that are too large, and how many are split at once.
@@ -72,7 +72,7 @@
         self._clock = clock
         self._limits = record_limits(settings.params.state)
         self._write_rps = settings.params.state.write_rps
-        self._max_outcome_jobs = _MIN_JOBS_PER_ROUND
+        self._max_outcome_jobs = _MIN_JOB_LIMIT
         self._queue_order = QueueOrder(settings.params.objectives, settings.params.teams)
         self._teams = {team.name: team for team in settings.params.teams}
         self._outcomes: dict[tuple[str, int], Outcome] = {}
@@ -126,14 +126,14 @@
         rate_share = 1.0 / max(1, len(set(term.owners.values())))
         self._writer.set_rate_share(rate_share)
         self._max_outcome_jobs = max(
-            _MIN_JOBS_PER_ROUND, int(self._write_rps * rate_share * _LIMITED_ROUND_WRITE_S)
+            _MIN_JOB_LIMIT, int(self._write_rps * rate_share * _LIMITED_ROUND_WRITE_S)
         )
         await self._split_records()
         drafts: dict[str, Draft] = {}
         self._end_partly_placed_gangs(drafts)
         self._apply_outcomes(drafts)
         for job in self._registry.withdrawn.values():
-            # The last attempt ended while the job was being withdrawn, so only closing it is left.
+            # The last attempt ended while the job was being withdrawn: it only has to be closed.
             if (
                 job.record.live_count == 0
                 and job.id not in drafts
@@ -367,7 +367,8 @@
             self._clock.wall_us(),
         )
         placed = 0
-        # Placements may take as long to write as the outcomes, as the most urgent ones come first.
+        # While prod work waits, a round may change as many jobs again for placements as it does for
+        # outcomes. Jobs are placed in order of urgency, so the most urgent ones are not delayed.
         max_jobs = 2 * self._max_outcome_jobs if self._has_prod_work(()) else _NO_JOB_LIMIT
         while len(drafts) < max_jobs and (placement := queue.place_next(capacities)) is not None:
             draft = drafts.get(placement.job.id)
--- a/mosswalk/placement/preemption.py
+++ b/mosswalk/placement/preemption.py
@@ -18,8 +18,8 @@
 _MAX_CHECKPOINT_COST_RATIO = 0.7
 # How many tasks are considered in one call: each of them scans all machines.
 _MAX_SCANS = 48
-# One idle task that can checkpoint. Only free capacity would be better, and that would have been
-# offered.
+# The key of one idle task that can checkpoint. Only free capacity would be better, and that would
+# have been offered.
 _BEST_POSSIBLE_KEY = (0, 1, -IDLE_RANK)
 
 
@@ -48,10 +48,11 @@
 def may_preempt(
     job: Job, other: Job, guaranteed: bool, teams: Mapping[str, Team], usage: Mapping[str, Usage]
 ) -> bool:
-    """Whether a job may have an attempt of another one stopped (PROTOCOL, "Preemption").
+    """Whether a job may have an attempt of another one stopped.
 
-    It may if its priority is higher. If it is within its team's guarantee, it also may if the other
-    job's team keeps the CPUs of its own guarantee without the attempt.
+    This is the rule in the section "Preemption" of the protocol. The job may if its priority is
+    higher. If it is within its team's guarantee, it also may if the other job's team keeps the CPUs
+    of its own guarantee without the attempt.
     """
     if other.rank > job.rank:
         return True
@@ -238,6 +239,7 @@
     """The first victims on a machine that free enough for a task; None if all don't suffice."""
     cpus, gpus, memory = capacity.cpus, capacity.gpus, capacity.memory
     chosen: list[Victim] = []
+    # None stands for the free capacity alone: perhaps no attempt has to be stopped.
     for victim in (None, *victims):
         if victim is not None:
             if victim.protected and job.rank > PROD_RANK:
--- a/mosswalk/placement/queues.py
+++ b/mosswalk/placement/queues.py
@@ -21,7 +21,7 @@
 # must not be starved before it completes.
 _HIGH_PROMOTION_US = 300_000_000
 # A job that has not started after this time is overdue: it comes before all work but prod, and the
-# part of the team's limit that is freed and the capacity it claims are held for it.
+# freed part of its team's limit and the capacity that it claims are held for it.
 OVERDUE_US = 150_000_000
 # After this time an overdue job comes before prod work too. Users expect every job to start within
 # four minutes.
@@ -45,35 +45,40 @@
 
     A job that can't meet any of its targets any more comes after those that can, since placing it
     first would make them late too. A job's targets are its deadline and the objectives of its
-    class, for when to be done and when to start.
+    class, which limit the time until it starts or is done.
     """
 
     def __init__(self, objectives: Iterable[Objective], teams: Iterable[Team] = ()) -> None:
         self._cpu_limits = {team.name: milli_floor(team.cpus_max) for team in teams}
-        self._within_us: dict[tuple[str, str], list[int]] = {}
+        # Target times after submission, by kind of objective and job class.
+        self._target_offsets_us: dict[tuple[str, str], list[int]] = {}
         for objective in objectives:
             if objective.job_class is not None and objective.within_s is not None:
                 key = (objective.kind, objective.job_class)
-                self._within_us.setdefault(key, []).append(to_us(objective.within_s))
+                self._target_offsets_us.setdefault(key, []).append(to_us(objective.within_s))
 
     def _earliest_done_at_us(self, job: Job, wall_us: int) -> int:
         """When the job could be done if it used its team's whole CPU limit from now on."""
         limit = self._cpu_limits.get(job.spec.team, 0)
         waves = 1.0
         if limit > 0 and job.cpus > 0:
-            left = job.spec.tasks - job.record.done_count
-            waves = max(1.0, left / max(1, limit // job.cpus))
+            remaining = job.spec.tasks - job.record.done_count
+            waves = max(1.0, remaining / max(1, limit // job.cpus))
         return wall_us + to_us(job.spec.estimate_s * waves)
 
     def target_at_us(self, job: Job, wall_us: int) -> int | None:
         """The earliest target that the job can still meet, or None."""
-        submitted_at_us, name = job.record.submitted_at_us, job.spec.job_class
+        submitted_at_us, job_class = job.record.submitted_at_us, job.spec.job_class
         done_at_us = self._earliest_done_at_us(job, wall_us)
-        done_targets = [submitted_at_us + w for w in self._within_us.get(("finished", name), ())]
+        done_targets = [
+            submitted_at_us + w for w in self._target_offsets_us.get(("finished", job_class), ())
+        ]
         if job.spec.deadline_s is not None:
             done_targets.append(job.deadline_at_us())
         reachable = [t for t in done_targets if t >= done_at_us]
-        start_targets = [submitted_at_us + w for w in self._within_us.get(("wait", name), ())]
+        start_targets = [
+            submitted_at_us + w for w in self._target_offsets_us.get(("wait", job_class), ())
+        ]
         return min((*reachable, *(t for t in start_targets if t >= wall_us)), default=None)
 
     def sort_key(self, job: Job, wall_us: int) -> tuple[int, bool, int, int, str]:
@@ -90,9 +95,9 @@
     def _compute_sort_key(self, job: Job, wall_us: int) -> tuple[int, bool, int, int, str]:
         submitted_at_us = job.record.submitted_at_us
         target_at_us = self.target_at_us(job, wall_us)
-        name = job.spec.job_class
+        job_class = job.spec.job_class
         has_target = job.spec.deadline_s is not None or any(
-            (kind, name) in self._within_us for kind in ("finished", "wait")
+            (kind, job_class) in self._target_offsets_us for kind in ("finished", "wait")
         )
         late = has_target and target_at_us is None
         waited_us = wall_us - submitted_at_us
@@ -192,7 +197,7 @@
         self._zone_rule: ZoneRule | None = None
         # Where the head's last task was placed. While the next one fits, it is still best.
         self._last_capacity: FreeCapacity | None = None
-        # Jobs whose next task found no capacity, for the factory and for preemption.
+        # Jobs whose next task found no capacity: reasons to rent machines or to preempt.
         self.unschedulable: list[Job] = []
 
     def head(self) -> Job | None:
