--- a/mosswalk/store/client.py
+++ b/mosswalk/store/client.py
@@ -54,7 +54,7 @@
 
 
 class CompactedError(Exception):
-    """The watch's starting revision was compacted."""
+    """The service no longer has all changes since the watch's starting revision."""
 
 
 _decoders: dict[type, msgspec.json.Decoder[object]] = {}
@@ -76,7 +76,7 @@
 
     def __init__(self, http: aiohttp.ClientSession, address: str, rps: float, clock: Clock) -> None:
         self._http = http
-        self._base = f"http://{address}"
+        self._base_url = f"http://{address}"
         self._clock = clock
         self._bucket = TokenBucket(rps, max(1.0, rps / 4), clock.now_us())
 
@@ -89,7 +89,7 @@
         try:
             async with self._http.request(
                 method,
-                self._base + path,
+                self._base_url + path,
                 data=body,
                 timeout=aiohttp.ClientTimeout(total=timeout_s, sock_connect=_CONNECT_TIMEOUT_S),
             ) as response:
--- a/mosswalk/store/mirror.py
+++ b/mosswalk/store/mirror.py
@@ -123,7 +123,7 @@
             self.apply_response(key, None, revision)
 
     def notify_batch_applied(self) -> None:
-        """Notify the listeners for batches."""
+        """Call the callbacks that wait for a batch of changes to be applied."""
         for callback in self._batch_listeners:
             callback()
 
--- a/mosswalk/store/records.py
+++ b/mosswalk/store/records.py
@@ -141,9 +141,9 @@
     # When the job was withdrawn, by the wall clock of the controller that withdrew it.
     withdrawn_at_us: int = field(name="w", default=0)
     tasks: TaskChunk = field(name="x", default=TaskChunk())
-    # Identifies the chunks that belong to the job. When a job is split again, its chunks get new
-    # keys, whose layout number is the version of the header they were made from, and the new header
-    # then names that layout.
+    # Identifies the chunks that belong to the job. When a job is split into smaller records, its
+    # chunks get new keys, whose layout number is the version of the header they were made from, and
+    # the new header then names that layout.
     layout: int = field(name="l", default=0)
     split_chunk_size: int = field(name="cs", default=0)
     # The phase of a gang's current attempt; empty for other jobs.
--- a/mosswalk/store/throttle.py
+++ b/mosswalk/store/throttle.py
@@ -17,7 +17,7 @@
     def __init__(self) -> None:
         self._factor = 1.0
         self._decreased_at_us = 0
-        self._polled_at_us = 0
+        self._increase_reported_at_us = 0
 
     def note_refusal(self, now_us: int) -> None:
         """Decrease the rate because the service has answered 429."""
@@ -33,9 +33,9 @@
 
     def poll_increase(self, now_us: int) -> bool:
         """Whether the share has grown since the last poll that returned true, at least 1 s ago."""
-        if self._factor >= 1.0 or now_us - self._polled_at_us < SECOND_US:
+        if self._factor >= 1.0 or now_us - self._increase_reported_at_us < SECOND_US:
             return False
-        self._polled_at_us = now_us
+        self._increase_reported_at_us = now_us
         if self.factor(now_us) >= 1.0:
             self._factor = 1.0
         return True
--- a/mosswalk/store/writer.py
+++ b/mosswalk/store/writer.py
@@ -44,8 +44,8 @@
 _FIRST_RETRY_S = 0.1
 _MAX_RETRY_S = 1.0
 _RETRY_GROWTH = 1.6
-# How many times, and how far apart, the guards of a transaction are checked that was rejected while
-# the outcome of an earlier copy was unknown.
+# If a transaction is rejected while the outcome of an earlier copy is unknown, its guards are
+# checked this many times, with this pause after each.
 _MAX_REJECTED_CHECKS = 20
 _REJECTED_CHECK_PAUSE_S = 1.0
 
@@ -54,7 +54,10 @@
     """A check right before each commit is sent."""
 
     async def admit(self, guards: Mapping[str, int], *, sent_before: bool) -> None:
-        """Return if it may be sent; RefusedError if not yet, ConflictError if it must fail."""
+        """Return if it may be sent; RefusedError if not yet, ConflictError if it must fail.
+
+        ``sent_before`` says that an earlier copy of it may have been applied.
+        """
 
 
 class Change(Struct):
@@ -174,7 +177,7 @@
         return batch
 
     async def run(self) -> None:
-        """Commit batches until a commit fails unexpectedly; then RuntimeError."""
+        """Commit batches; raise RuntimeError once a commit has failed unexpectedly."""
         running: set[asyncio.Task[None]] = set()
 
         def on_done(task: asyncio.Task[None]) -> None:
@@ -283,8 +286,8 @@
                 return
             await asyncio.sleep(_REJECTED_CHECK_PAUSE_S)
         if len(fail_fast) < len(batch):
-            # Nothing else invalidates the earlier copy: the process must end, and the new term for
-            # its next run does.
+            # Only a new term can still invalidate the earlier copy, so the process must end: its
+            # restart causes one.
             raise InvalidRequestError("a transaction of unknown outcome was rejected")
 
     async def _read_version(self, key: str) -> int | None:
@@ -313,6 +316,7 @@
     def _reject_fail_fast(
         self, batch: list[_QueuedChange], error: Exception
     ) -> list[_QueuedChange]:
+        """Fail the changes that must not be retried; return the others."""
         self._fail([queued for queued in batch if queued.change.fail_fast], error)
         return [queued for queued in batch if not queued.change.fail_fast]
 
