--- a/mosswalk/factory/attribution.py
+++ b/mosswalk/factory/attribution.py
@@ -122,7 +122,7 @@
 def _add(
     groups: list[TaskGroup], option: _TaskOptions, name: str, view: FleetView, *, deferrable: bool
 ) -> None:
-    """Add tasks to the group of those that may use the same pools."""
+    """Add tasks to the group for the same pools, which is created if there is none."""
     job, pools = option.tasks.job, option.pools[name]
     machines_needed = machine_share(job, view.types[name]) * option.tasks.count
     for group in groups:
--- a/mosswalk/factory/booting.py
+++ b/mosswalk/factory/booting.py
@@ -70,7 +70,7 @@
 
 
 def _set_loads(view: FleetView, booting: Mapping[str, FreeCapacity]) -> None:
-    """Set the load of each machine that is not up to what it will take."""
+    """Set the load of each machine that is not up yet to that of the tasks it will take."""
     for m in view.machines:
         if m.name in booting:
             capacity, machine_type = booting[m.name], view.types[m.pool[0]]
--- a/mosswalk/factory/consolidate.py
+++ b/mosswalk/factory/consolidate.py
@@ -44,6 +44,7 @@
     capacities: Iterable[FreeCapacity],
     zone_of: MutableMapping[str, str],
 ) -> FreeCapacity | None:
+    # The replica itself counts in no real zone, since it will be stopped.
     rule = zone_rule(job, ChainMap({attempt.machine: ""}, zone_of))
     if rule is None:
         return None
--- a/mosswalk/factory/load.py
+++ b/mosswalk/factory/load.py
@@ -11,13 +11,13 @@
 
 def machine_share(job: Job, machine_type: MachineType) -> float:
     """Return the fraction of an empty machine that one task uses, by its scarcest resource."""
-    parts = [
+    fractions = [
         job.cpus / max(1, milli_ceil(machine_type.cpus)),
         job.memory / max(1, milli_ceil(machine_type.memory_gb)),
     ]
     if job.gpus:
-        parts.append(job.gpus / max(1, milli_ceil(machine_type.gpus)))
-    return max(parts)
+        fractions.append(job.gpus / max(1, milli_ceil(machine_type.gpus)))
+    return max(fractions)
 
 
 def fits(job: Job, machine_type: MachineType) -> bool:
@@ -38,7 +38,10 @@
     since_us: int | None = None
 
     def update(self, beyond: bool, now_us: int, dwell_us: int) -> bool:
-        """Record whether the ratio is beyond the threshold; return whether that has lasted."""
+        """Record whether the ratio is beyond the threshold now.
+
+        Returns whether it has been for at least the dwell time.
+        """
         if not beyond:
             self.since_us = None
             return False
--- a/mosswalk/factory/loop.py
+++ b/mosswalk/factory/loop.py
@@ -65,12 +65,12 @@
         ]
         releases: list[Release] = []
         for other in other_pools:
-            names = {r.machine for r in releases}
+            released = {r.machine for r in releases}
             candidates = [
                 m
                 for m in view.machines
                 if m.pool == other
-                and m.name not in names
+                and m.name not in released
                 and (m.phase != "up" or m.idle_since_us is not None)
             ]
             if candidates:
@@ -157,7 +157,7 @@
                 continue
             needed = max(1, int(group.machines_needed + 0.999))
             walltime_us = float(to_us(median(group.estimates)))
-            evaluated: list[Pool] = []
+            evaluated_pools: list[Pool] = []
             while needed > 0 and rents_left > 0:
                 pools = [
                     p
@@ -166,10 +166,10 @@
                 ]
                 if not pools:
                     break
-                if pools != evaluated:
+                if pools != evaluated_pools:
                     front = pareto_front(self.pools.estimates(machine_type, pools), walltime_us)
                     best = optimize(front, self._tuning.weight_of_time)
-                    evaluated = pools
+                    evaluated_pools = pools
                 # All rentals in a pool that are decided in one iteration share one cloud call.
                 calls_needed = sum(1 for p in best.pools if p.pool not in rents_by_pool)
                 calls_missing = max(0, calls_needed - calls_left)
@@ -220,5 +220,5 @@
             remaining = len(machines) - len(releases) - 1
             if remaining and ratio * len(machines) / remaining > tuning.load_high:
                 break
-            releases.append(Release(machine.name, f"load {ratio:.2f}"))
+            releases.append(Release(machine.name, f"not needed at load ratio {ratio:.2f}"))
         return releases
