--- a/mosswalk/fleet/command_sender.py
+++ b/mosswalk/fleet/command_sender.py
@@ -30,7 +30,8 @@
 class _PendingRequest(Struct):
     commands: list[Command] = field(default_factory=list)
     in_flight: bool = False
-    # Send even without commands: an answer shows that the worker receives them.
+    # Whether to send a request even without commands, as an answer shows that the worker receives
+    # them.
     probe: bool = False
     scheduled: bool = False
 
@@ -59,19 +60,19 @@
         self._spawn = spawn
         self._clock = clock
         self._pending: dict[str, _PendingRequest] = {}
-        # Sockets for all connections with workers, and the machines to which a connection may stay
-        # open. Each machine takes one more socket for its reports anyway.
+        # Number of sockets for all connections with workers, and the machines to which a connection
+        # may stay open. Each machine also takes one of these sockets for its reports.
         self._worker_sockets = worker_sockets
         self._keep_alive: set[str] = set()
         self._shortage_logged = False
 
     def reset(self) -> None:
-        """Discard all state when another controller leads."""
+        """Discard all state; called when this controller stops leading."""
         self._pending.clear()
         self._keep_alive.clear()
 
     def remove_machine(self, name: str) -> None:
-        """Discard the state of a machine that is gone."""
+        """Discard the state of a machine whose release the cloud has confirmed."""
         self._pending.pop(name, None)
         self._keep_alive.discard(name)
 
@@ -98,7 +99,8 @@
     def _may_keep_alive(self, name: str) -> bool:
         """Whether the connection to a machine may stay open for further commands.
 
-        If all did, a large fleet would take two sockets a machine, and users would be refused.
+        If all stayed open, a large fleet would take two sockets per machine, and connections of
+        users would be refused.
         """
         spare = self._worker_sockets - len(self._inventory.machines)
         if spare < 0 and not self._shortage_logged:
--- a/mosswalk/fleet/consolidating.py
+++ b/mosswalk/fleet/consolidating.py
@@ -14,8 +14,8 @@
 
 log = logging.getLogger(__name__)
 
-# A replica is moved only after it has run this long: a start that is stopped within 30 s does not
-# count for its user.
+# A replica is moved only after it has run for this long. A replica that is stopped within 30 s of
+# its start does not count as started for its user.
 _MIN_RUN_US = 60 * SECOND_US
 # How long a machine stays cordoned after it was last chosen to drain: its release takes a while.
 _DRAINING_US = 30 * SECOND_US
@@ -83,7 +83,7 @@
             if (job := self._registry.jobs.get(job_id)) is not None and job.pending_count() > 0
         }
         if self._moving_jobs:
-            # A replica that was stopped is not placed again yet: no other is moved before it is.
+            # A stopped replica has not been placed again yet; no other is moved until it is.
             return []
         host = choose_machine_to_drain(hosts, self._inventory.zones_by_machine())
         if host is None:
--- a/mosswalk/fleet/follower_reports.py
+++ b/mosswalk/fleet/follower_reports.py
@@ -21,7 +21,7 @@
 
 log = logging.getLogger(__name__)
 
-# The leader asks its followers every one or two seconds how many workers have turned to them.
+# The leader asks its followers every one or two seconds how many workers have reported to them.
 _LEADER_POLL_INTERVAL_US = 2 * SECOND_US
 
 
@@ -37,12 +37,12 @@
         self.recent_workers = RecentWorkers(
             _LEADER_POLL_INTERVAL_US + to_us(limits.report_s), clock
         )
-        # Workers redirected within the last lease duration. One that comes back was not answered by
-        # the leader.
+        # Workers redirected within the last lease duration. If one of them reports here again, the
+        # leader has not answered it.
         self._redirected = RecentWorkers(to_us(limits.lease_s), clock)
         # Whether neither a leader nor a controller that knows one can be reached from here.
         self.no_leader_reachable: Callable[[], bool] = lambda: False
-        # Whether no controller that can be reached is served by the state service.
+        # Whether the state service answers none of the controllers that can be reached from here.
         self.no_peer_reaches_state_service: Callable[[], bool] = lambda: False
         self._renews_leases = False
 
--- a/mosswalk/fleet/inventory.py
+++ b/mosswalk/fleet/inventory.py
@@ -45,7 +45,7 @@
     # Whether it has reported in a term of this leader. A report of an earlier term may be a late
     # copy, even from a machine long gone, and shows nothing of the present state.
     has_acknowledged_leader: bool = False
-    # The last answer to one of its reports; the next report shows whether the worker received it.
+    # The last answer to one of its reports; its next report shows whether the worker received it.
     last_answer_term: int = 0
     last_answer_commands: tuple[Command, ...] = ()
     last_answer_at_us: int = 0
@@ -118,8 +118,9 @@
             and self.last_answer_at_us > 0
             and now_us - self.last_answer_at_us < lease_us * 6 // 10
         ):
-            # Its lease expired although the last report was answered well in time, so it may not
-            # receive answers. It may also have been restarted.
+            # It has begun a new session, as after the end of its lease, although its last report
+            # was answered less than 60 % of a lease ago. So it may not receive answers; it may also
+            # have been restarted.
             self.needs_direct_answer = True
         received = report.term >= self.last_answer_term and (
             is_new_session
@@ -131,7 +132,7 @@
             self.not_receiving_since_us = now_us
 
     def record_direct_answer(self) -> None:
-        """Note that it has answered /orders, so it receives commands."""
+        """Record that it has answered /orders, which shows that it receives commands."""
         self.needs_direct_answer = False
         self.not_receiving_since_us = None
 
@@ -209,5 +210,5 @@
         return {m.name: m.zone for m in self.machines.values() if not m.known_from_record_only}
 
     def reset(self) -> None:
-        """Discard the machines when another controller leads."""
+        """Discard the machines; called when this controller stops leading."""
         self.machines.clear()
--- a/mosswalk/fleet/manager.py
+++ b/mosswalk/fleet/manager.py
@@ -309,7 +309,7 @@
     # Reports and commands.
 
     def is_unreachable_for_workers(self, reporting_elsewhere: int) -> bool:
-        """Whether workers can't reach this leader and turn to other controllers."""
+        """Whether workers can't reach this leader and report to other controllers."""
         now_us = self._clock.now_us()
         if not self._leading or now_us - self._answering_since_us < WORKER_RECONNECT_US:
             return False
@@ -318,14 +318,14 @@
         return leader_unreachable_for_workers(len(up), reporting_here, reporting_elsewhere)
 
     def machine_up(self, machine: Machine) -> None:
-        """Use a machine that has come up, and release surplus machines of its rental group."""
-        took_us = self._clock.now_us() - machine.rented_at_us
+        """Record that a machine is up, and release surplus machines of its rental group."""
+        boot_us = self._clock.now_us() - machine.rented_at_us
         log.info(
             "machine %s (%s, %s) is up after %.1f s",
             machine.name,
             machine.type,
             machine.zone,
-            took_us / SECOND_US,
+            boot_us / SECOND_US,
         )
         for release in self._scaler.on_machine_up(machine, self._available_cloud_calls()):
             self._release_if_unused(release)
@@ -390,7 +390,7 @@
             else:
                 answer = await self._peers.offer(node, offer)
         except Exception as error:
-            log.debug("offer to %s: %s", node, error)
+            log.debug("sending an offer to %s failed: %s", node, error)
         self.send(OfferDone(node, answer))
 
     def _on_offer_done(self, message: OfferDone) -> None:
@@ -402,9 +402,9 @@
     def _tick(self) -> None:
         now_us = self._clock.now_us()
         if now_us - self._last_tick_at_us > _STALL_LIMIT_US:
-            # This process was suspended, so the silence of machines shows nothing yet. On a
-            # recorded day, a leader resumed after 20 s and, although deposed, released every
-            # machine.
+            # While this process was suspended, it received no reports, so the silence of machines
+            # shows nothing yet. On a recorded day, a leader resumed after 20 s and, although
+            # deposed, released every machine.
             log.info(
                 "process was suspended for %.1f s", (now_us - self._last_tick_at_us) / SECOND_US
             )
@@ -443,7 +443,7 @@
         if now_us - self._last_orphan_cleanup_at_us > _ORPHAN_CLEANUP_INTERVAL_US:
             self._last_orphan_cleanup_at_us = now_us
             self.spawn(self._record_maintenance.remove_orphaned_chunks())
-        # Computed once for all uses below: it walks all waiting tasks, by the limits of each team.
+        # Computed once for all uses below, as it examines all waiting tasks by their teams' limits.
         waiting = self._scaler.waiting_tasks()
         if now_us - self._last_preemption_at_us > _PREEMPTION_INTERVAL_US:
             self._last_preemption_at_us = now_us
@@ -600,7 +600,7 @@
             self._stops.stop_gang(job)
 
     def _run_factory(self, waiting: list[WaitingTasks]) -> None:
-        wanted, releases = self._scaler.decide(
+        groups_by_pool, releases = self._scaler.decide(
             waiting,
             self._offers.free_capacity,
             self._available_cloud_calls(),
@@ -609,5 +609,5 @@
         for release in releases:
             self._release_if_unused(release)
         if self.cloud is not None:
-            for pool, groups in wanted.items():
+            for pool, groups in groups_by_pool.items():
                 self.spawn(self.cloud.rent(groups, pool))
--- a/mosswalk/fleet/offers.py
+++ b/mosswalk/fleet/offers.py
@@ -40,7 +40,7 @@
     teams: tuple[str, ...]
     machine_offers: list[MachineOffer]
     expires_at_us: int
-    # Set once the owner has answered: the reservation ends when the mirror has reached it.
+    # The revision in the owner's answer. The reservation ends when the mirror has reached it.
     revision: int | None = None
 
 
@@ -87,7 +87,7 @@
         registry.on_machine_changed.append(self.mark_changed)
 
     def reset(self) -> None:
-        """Discard reservations and free capacities: another controller leads."""
+        """Discard reservations and free capacities; called when this controller stops leading."""
         self._reservations.clear()
         self._reserved_by_machine.clear()
         self._capacities.clear()
--- a/mosswalk/fleet/outcome_sender.py
+++ b/mosswalk/fleet/outcome_sender.py
@@ -61,12 +61,12 @@
         self._last_scan_at_us = 0
 
     def reset(self) -> None:
-        """Discard all state when another controller leads."""
+        """Discard all state; called when this controller stops leading."""
         self._pending.clear()
         self._unsent.clear()
 
     def add_reported(self, outcome: Outcome) -> None:
-        """Add an outcome that a worker has reported; one sent before waits for the next resend."""
+        """Add an outcome that a worker has reported; if sent before, it waits for its resend."""
         key = (outcome.task, outcome.attempt)
         pending = self._pending.get(key)
         if pending is None:
@@ -120,8 +120,8 @@
         for key, pending in due:
             job = self._job_of(pending.outcome)
             if job is None:
-                # The record shows the outcome: the answer to the worker's next report has the reap
-                # command.
+                # The record shows the outcome. The answer to the worker's next report contains the
+                # command to reap the task.
                 self._pending.pop(key, None)
                 continue
             pending.sent_at_us = now_us
@@ -139,5 +139,5 @@
         try:
             await self._peers.outcomes(node, message)
         except Exception as error:
-            # They are sent again until the records show them.
-            log.debug("outcomes to %s: %s", node, error)
+            # Outcomes are sent again until the records show them.
+            log.debug("sending outcomes to %s failed: %s", node, error)
--- a/mosswalk/fleet/overdue_machines.py
+++ b/mosswalk/fleet/overdue_machines.py
@@ -18,8 +18,10 @@
 )
 from mosswalk.leadership.actor import Leadership
 
-# How long workers may take to find a new leader, or to reconnect after a network cut.
+# How long workers may take to find a new leader, or to reconnect after a network partition.
 WORKER_RECONNECT_US = 8 * SECOND_US
+# A report is late this many report intervals after the last one.
+_LATE_REPORT_INTERVALS = 2.2
 
 
 class OverdueMachines:
@@ -31,7 +33,7 @@
         workers, fleet = settings.params.workers, settings.tuning.fleet
         lease_us = to_us(workers.lease_s)
         self.silence_limits = SilenceLimits(
-            to_us(2.2 * workers.report_s),
+            to_us(_LATE_REPORT_INTERVALS * workers.report_s),
             to_us(fleet.silent_reports * workers.report_s),
             lease_us,
             lease_us + leadership.max_unconfirmed_us,
@@ -49,7 +51,7 @@
         self._many_late_at_us: dict[str, int] = {}
 
     def reset(self) -> None:
-        """Discard all state: another controller leads."""
+        """Discard all state; called when this controller stops leading."""
         self._no_controller_at_us.clear()
         self._many_late_at_us.clear()
 
@@ -69,7 +71,7 @@
                 silences[name], machine.spot_notice_until_us, now_us, self.silence_limits
             ):
                 yield machine, "its spot notice has expired"
-                # Its silence is no sign of a network cut.
+                # Its silence is no sign of a network partition.
                 del silences[name]
         yield from self._silent(silences)
         for machine in list(self._inventory.machines.values()):
@@ -83,9 +85,10 @@
 
     def _silent(self, silences: dict[str, int]) -> Iterator[tuple[Machine, str]]:
         zone_of = {name: self._inventory.machines[name].zone for name in silences}
-        # When a network cut heals, most machines are heard again before the last one, and the zone
-        # no longer has many late ones. Without the delay of _recent_zones, a third of a zone was
-        # released in that second, as if each machine had become silent on its own.
+        # When a network partition heals, the last machines report again later than most others, and
+        # by then few are late in their zone. Without the delay of _recent_zones, on a standard test
+        # day a third of a zone was released in that second, as if each machine had become silent on
+        # its own.
         late_zones = self._recent_zones(
             self._many_late_at_us, zones_with_many_late(silences, self.silence_limits, zone_of)
         )
@@ -103,7 +106,7 @@
             yield machine, f"{state} for {silences[name] / SECOND_US:.1f} s"
 
     def _recent_zones(self, last_at_us: dict[str, int], zones: Iterable[str]) -> set[str]:
-        """Record the zones now in a state; return those in it within the reconnect time."""
+        """Record that zones are in a state now; return all that were within the reconnect time."""
         now_us = self._clock.now_us()
         last_at_us.update(dict.fromkeys(zones, now_us))
         return {zone for zone, at_us in last_at_us.items() if now_us - at_us < WORKER_RECONNECT_US}
--- a/mosswalk/fleet/preempting.py
+++ b/mosswalk/fleet/preempting.py
@@ -19,7 +19,7 @@
 
 _MAX_VICTIMS = 16
 # How long a task takes to start on free capacity with its image cached.
-_START_S = 0.5
+_CACHED_START_S = 0.5
 
 
 class Preemptor:
@@ -66,11 +66,11 @@
         """Return whether a job meets a wait objective only if victims write no checkpoint."""
         waited_us = self._clock.wall_us() - job.record.submitted_at_us
         return any(
-            waited_us <= within_us < waited_us + to_us(checkpoint_duration_s + _START_S)
+            waited_us <= within_us < waited_us + to_us(checkpoint_duration_s + _CACHED_START_S)
             for within_us in self._wait_objectives_us.get(job.spec.job_class, ())
         )
 
-    def _guaranteed(self, job: Job, usage: Mapping[str, Usage]) -> bool:
+    def _is_guaranteed(self, job: Job, usage: Mapping[str, Usage]) -> bool:
         team_usage = usage.get(job.spec.team) or Usage()
         return fits_quota(self._teams[job.spec.team], team_usage, job, against_limit=False)
 
@@ -83,7 +83,7 @@
             (w.job, w.count)
             for w in waiting
             if w.job.rank == 0
-            or (w.job.rank < IDLE_RANK and (w.job.is_gang or self._guaranteed(w.job, usage)))
+            or (w.job.rank < IDLE_RANK and (w.job.is_gang or self._is_guaranteed(w.job, usage)))
         ]
         if not blocked:
             return []
--- a/mosswalk/fleet/recent_workers.py
+++ b/mosswalk/fleet/recent_workers.py
@@ -1,8 +1,8 @@
-"""Counts the workers that turn to followers, to detect a leader that workers can't reach.
+"""Counts the workers that report to followers, to detect a leader that workers can't reach.
 
-Such a leader still reaches the state service and the other controllers, so its lease holds and no
-other controller would take over. On a standard test day, a leader that the workers could not reach
-for 30 s went on leading, and every worker lease in the fleet expired.
+Such a leader still reaches the state service and the other controllers, so it keeps its lease and
+no other controller would take over. On a standard test day, a leader that the workers could not
+reach for 30 s went on leading, and every worker lease in the fleet expired.
 """
 
 from __future__ import annotations
@@ -13,9 +13,9 @@
 
 # A smaller fleet may send no report for a moment without any fault.
 _MIN_MACHINES = 3
-# The leader is cut off if less than one machine in this many reports to it and at least one in this
-# many reports to other controllers.
-_SIGNIFICANT_ONE_IN = 10
+# Workers can't reach the leader if fewer than one machine in this many reports to it and at least
+# one in this many reports to other controllers.
+_SIGNIFICANT_SHARE_DIVISOR = 10
 
 
 class RecentWorkers:
@@ -51,14 +51,14 @@
 
 
 def leader_unreachable_for_workers(up: int, heard: int, elsewhere: int) -> bool:
-    """Whether workers turn to other controllers because they can't reach the leader.
+    """Whether workers report to other controllers because they can't reach the leader.
 
     Of the ``up`` machines, ``heard`` report to the leader and ``elsewhere`` to other controllers.
     When workers report to no controller at all, they are partitioned or dead themselves, and a new
-    leader would not hear from them either.
+    leader would not receive their reports either.
     """
     return (
         up >= _MIN_MACHINES
-        and heard * _SIGNIFICANT_ONE_IN < up <= elsewhere * _SIGNIFICANT_ONE_IN
+        and heard * _SIGNIFICANT_SHARE_DIVISOR < up <= elsewhere * _SIGNIFICANT_SHARE_DIVISOR
         and elsewhere > heard
     )
--- a/mosswalk/fleet/record_maintenance.py
+++ b/mosswalk/fleet/record_maintenance.py
@@ -55,7 +55,7 @@
                 Change(guards, {records.MACHINE_TYPES_KEY: Raw(_without_prices(types))})
             )
         except (ConflictError, RefusedError, UnknownOutcomeError) as error:
-            log.info("machine types not written: %s", error)
+            log.info("machine types not written, to be retried: %s", error)
             return False
         return True
 
@@ -65,11 +65,12 @@
         for start in range(0, len(orphans), self._max_txn_ops):
             batch = orphans[start : start + self._max_txn_ops]
             # While all keys are read anew, a new job's chunks may be seen before its header. Only
-            # the state service can tell that there is no header, so the write is guarded by it.
+            # the state service can tell that there is no header, so the write is guarded by the
+            # version of the header's key.
             guards = {records.TERM_KEY: self._leadership.term_version}
             guards.update((records.job_key(orphan.job), orphan.version) for orphan in batch)
             try:
                 await self._writer.commit(Change(guards, {}, tuple(o.key for o in batch)))
             except (ConflictError, RefusedError, UnknownOutcomeError) as error:
-                log.info("orphaned chunks not removed: %s", error)
+                log.info("orphaned chunks not removed, to be retried: %s", error)
                 return
--- a/mosswalk/fleet/renting.py
+++ b/mosswalk/fleet/renting.py
@@ -40,7 +40,7 @@
         self.reset()
 
     def reset(self) -> None:
-        """Discard all state: another controller has led meanwhile."""
+        """Set the initial state; called again when this controller stops leading."""
         self._factory = Factory(self._tuning)
         self._blocked_jobs: dict[str, list[Job]] = {}
         self._blocked_since_us: dict[str, int] = {}
@@ -143,8 +143,8 @@
         now_us = self._clock.now_us()
         waited_us = now_us - self._blocked_since_us.get(job.id, now_us)
         boot_s = max((t.boot_s for t in self._inventory.types.values()), default=0.0)
-        # An on-demand machine is to be up within the limit, so the time to boot shortens the wait.
-        # Jobs of class idle wait twice as long, as no user waits for them.
+        # An on-demand machine is to be up within steady_within_s, so the time to boot shortens the
+        # wait. Jobs of class idle wait twice as long, as no user waits for them.
         max_wait_s = self._tuning.steady_within_s * (job.rank - 1) - boot_s
         if waited_us >= to_us(max_wait_s):
             return False
@@ -252,7 +252,7 @@
         """Run the factory once; return rental groups by pool, and machines to release."""
         now_us = self._clock.now_us()
         if now_us - self._cordon_chosen_at_us >= _CORDON_PERIOD_US:
-            # Choosing looks at all machines and sorts them, and the result changes slowly.
+            # Choosing examines and sorts all machines, and its result changes slowly.
             self._cordon_chosen_at_us = now_us
             self._chosen_to_cordon = choose_machines_to_cordon(self._occupancy(capacity_of))
         self.cordoned = self._chosen_to_cordon | draining
--- a/mosswalk/fleet/report_evaluation.py
+++ b/mosswalk/fleet/report_evaluation.py
@@ -38,7 +38,7 @@
 def kill_commands_for_closed_jobs(report: Report, jobs: Mapping[str, Job]) -> list[Command]:
     """Commands to kill all tasks of a report whose job is not known to be open.
 
-    These are the only commands that a follower may give: such tasks must end whoever leads.
+    These are the only commands that a follower may send: such tasks must end whoever leads.
     """
     kills: list[Command] = []
     for task in report.tasks:
@@ -88,7 +88,7 @@
             continue
         result.live_tasks += 1
         if attempt is None:
-            # Without a record, nothing relies on it, and another attempt may be placed.
+            # Without a record, nothing relies on the attempt, and another one may be placed.
             result.commands.append(Command("kill", task.task, task.attempt, 0.0))
             continue
         grace_s = stop_grace_s(*key)
--- a/mosswalk/fleet/report_intake.py
+++ b/mosswalk/fleet/report_intake.py
@@ -34,10 +34,10 @@
     """Receives the changes that reports show."""
 
     def fleet_changed(self) -> None:
-        """A report has changed something on which offers depend."""
+        """Called when a report has changed something on which offers depend."""
 
     def machine_up(self, machine: Machine) -> None:
-        """A machine has come up and reports to this leader."""
+        """Called when a machine that was not up yet reports to this leader."""
 
     def release(self, machine: Machine, reason: str) -> None:
         """Release a machine."""
@@ -88,16 +88,22 @@
         self._reconnecting_since_us = 0
 
     def start_leading(self, first_term: int) -> None:
-        """Note that this controller has begun to lead."""
+        """Start to process reports for a leadership that begins with this term."""
         self._first_term = first_term
         self.restart_after_pause()
 
     def restart_after_pause(self) -> None:
-        """Note that this process was suspended, so that workers may have turned to others."""
+        """Restart the time in which workers may be reconnecting.
+
+        They may have reported to other controllers while this process was suspended.
+        """
         self._reconnecting_since_us = self._clock.now_us()
 
     def process(self, report: Report, *, is_periodic: bool) -> list[Command]:
-        """Process a report, or the answer to /orders; return the commands for the worker."""
+        """Process a report, or the answer to /orders; return the commands for the worker.
+
+        They are for the answer to a report; those returned for an answer to /orders are not sent.
+        """
         now_us = self._clock.now_us()
         if self._inventory.is_gone(report.machine):
             return []
@@ -108,7 +114,7 @@
                 # term from this answer and reports again within half a second.
                 return []
             log.info(
-                "unexpected report from machine %s (%s, %s)",
+                "machine %s (%s, %s) reports but is not known: added to the inventory",
                 report.machine,
                 report.type,
                 report.zone,
@@ -150,7 +156,8 @@
         if outcomes:
             self._outcome_sender.send_new()
         if changed or before != self._usability_state(machine):
-            # Most reports change nothing, so capacity and offers are computed for the others only.
+            # Most reports change nothing, so capacity and offers are recomputed only for those that
+            # do.
             self._offers.mark_changed(machine.name)
             self._listener.fleet_changed()
         for command in evaluation.commands:
@@ -207,7 +214,7 @@
             self._record_task_changes(machine, report)
 
     def _record_task_changes(self, machine: Machine, report: Report) -> None:
-        """Learn the machine's health from new exits, and its cached images from running tasks."""
+        """Update the machine's health from new exits, and its cached images from running tasks."""
         machine_type = self._inventory.types.get(machine.type)
         for task in report.tasks:
             before = machine.tasks.get((task.task, task.attempt))
--- a/mosswalk/fleet/silence.py
+++ b/mosswalk/fleet/silence.py
@@ -21,7 +21,7 @@
     silent_after_us: int
     # Added where many are late: by then the worker's lease has expired and its tasks have ended.
     lease_us: int
-    # Added instead where a controller that the others can't see may have renewed the lease.
+    # Added instead where a controller that the others can't reach may have renewed the lease.
     kept_alive_lease_us: int = 0
 
 
@@ -34,7 +34,7 @@
 
     A network partition, or a fault of the leader, is more likely there than that many dead
     machines. Late reports count, rather than silent machines, since machines report at different
-    times and a partition shows in a few of them at first. Zones are looked at one by one, since
+    times and a partition shows in a few of them at first. Each zone is checked by itself, since
     partitions follow zone boundaries.
     """
     total = Counter(zone_by_machine[name] for name in silences)
@@ -57,7 +57,7 @@
 
     In ``late_zones`` many reports are late and tasks may still run normally, so machines are not
     released before their leases have expired anyway. In ``cut_off_zones`` no controller can be
-    seen either, and one of them may have renewed the leases.
+    reached either, and one of them may have renewed the leases.
     """
 
     def limit_us(zone: str) -> int:
--- a/mosswalk/fleet/stale_starts.py
+++ b/mosswalk/fleet/stale_starts.py
@@ -33,11 +33,11 @@
         self._stale_since_us: dict[AttemptKey, int] = {}
 
     def reset(self) -> None:
-        """Discard all state when another controller leads."""
+        """Discard all state; called when this controller stops leading."""
         self._stale_since_us.clear()
 
     def check(self) -> None:
-        """Look for stale starts, and request a new term if one stays unanswered for too long."""
+        """Find stale starts, and request a new term if one stays unanswered for too long."""
         now_us = self._clock.now_us()
         term = self._leadership.term_number()
         stale: dict[AttemptKey, int] = {}
--- a/mosswalk/fleet/stopping.py
+++ b/mosswalk/fleet/stopping.py
@@ -52,7 +52,7 @@
         return key in self._stops
 
     def reset(self) -> None:
-        """Discard all state when another controller leads."""
+        """Discard all state; called when this controller starts or stops leading."""
         self._stops.clear()
 
     def discard_terminated(self) -> None:
@@ -114,7 +114,10 @@
                 yield job
 
     def _can_checkpoint(self, job: Job) -> bool:
-        """Whether a machine of the gang has a spot notice, and all can be told before it ends."""
+        """Whether a machine of the gang has a spot notice, and all tasks can still checkpoint.
+
+        For this, all machines must be reachable and the notice must leave enough time.
+        """
         now_us = self._clock.now_us()
         has_spot_notice = False
         for attempt in job.live_attempts():
--- a/mosswalk/fleet/stray_machines.py
+++ b/mosswalk/fleet/stray_machines.py
@@ -10,10 +10,10 @@
 # Workers mostly find a new leader by themselves within this time. After it they are probed, and
 # again at intervals of the same length.
 _PROBE_INTERVAL_US = 2 * SECOND_US
-# The limit of probes per tick: this many, or in a large fleet its size over this divisor, so that
-# probing all of it takes no longer than half a lease.
-_PROBES_PER_TICK = 64
-_FLEET_DIVISOR_PER_TICK = 16
+# The limit of probes per tick is the number of machines over the divisor, but at least the minimum.
+# So probing a large fleet takes no longer than half a lease.
+_MIN_PROBE_LIMIT = 64
+_PROBE_LIMIT_DIVISOR = 16
 
 
 class StrayMachines:
@@ -43,7 +43,7 @@
             return
         machines = self._inventory.machines
         strays = [machine for machine in machines.values() if self._is_stray(machine, now_us)]
-        max_probes = max(_PROBES_PER_TICK, len(machines) // _FLEET_DIVISOR_PER_TICK)
+        max_probes = max(_MIN_PROBE_LIMIT, len(machines) // _PROBE_LIMIT_DIVISOR)
         for machine in strays[:max_probes]:
             self._command_sender.probe(machine)
 
--- a/mosswalk/fleet/task_failures.py
+++ b/mosswalk/fleet/task_failures.py
@@ -32,7 +32,7 @@
             if len(failed_on) <= _MAX_BLAMED_MACHINES_PER_JOB:
                 machine.consecutive_errors += 1
                 log.info(
-                    "machine %s: %s failed, %d errors",
+                    "machine %s: %s failed, %d consecutive errors",
                     machine.name,
                     task.task,
                     machine.consecutive_errors,
--- a/mosswalk/fleet/withdrawing.py
+++ b/mosswalk/fleet/withdrawing.py
@@ -11,7 +11,7 @@
 from mosswalk.jobs.state import task_name
 from mosswalk.leadership.actor import Leadership
 
-# By then machines have reported to a new leader whether withdrawn tasks still run.
+# How long machines may take to report to a new leader whether withdrawn tasks still run.
 _REPORT_WAIT_US = 4 * SECOND_US
 
 
