--- a/mosswalk/detection/adaptive_timeout.py
+++ b/mosswalk/detection/adaptive_timeout.py
@@ -11,8 +11,8 @@
 # Bounds a sketch's memory. Beyond it the smallest gaps share a bin, which leaves high quantiles
 # unaffected.
 _MAX_BINS = 256
-# A few minutes of heartbeats. The current and the previous sketch are evaluated, so that older
-# gaps are forgotten.
+# A few minutes of heartbeats. Only the current and the previous sketch are evaluated, so that older
+# gaps no longer count.
 _MAX_GAPS_PER_SKETCH = 512
 # With fewer gaps a high quantile is not meaningful, and the ceiling applies.
 _MIN_GAPS = 16
@@ -21,7 +21,7 @@
 class AdaptiveTimeout:
     """The timeout of one directed link, computed from the gaps between contacts.
 
-    It is ``margin`` times the configured quantile of the gaps, between ``floor_s`` and
+    It is ``margin`` times the configured quantile of the gaps, but at least ``floor_s`` and at most
     ``ceiling_s``.
     """
 
--- a/mosswalk/detection/detector.py
+++ b/mosswalk/detection/detector.py
@@ -37,9 +37,11 @@
 
 # A tick that is late by more than this fraction of ``floor_s`` is a stall of this process.
 _STALL_LIMIT_FRACTION = 0.5
-# A heartbeat is sent to a controller that was last heard more than this many heartbeat periods ago,
+# A heartbeat is sent to a controller if the last contact with it was more than this many heartbeat
+# periods ago.
 _EXCHANGE_AFTER_PERIODS = 0.75
-# or that last answered a request of this controller more than this many periods ago.
+# It is also sent if the controller last answered a request of this one more than this many periods
+# ago.
 _REQUEST_AFTER_PERIODS = 2.5
 
 
@@ -87,9 +89,11 @@
         # The latest verdict that this controller has given on each other one, by name.
         self._verdicts: dict[str, Verdict] = {}
         self._verdict_count = 0
-        # Of the latest of these verdicts: time since the last contact.
+        # Time from the last contact with a controller to the verdict on it, for the latest verdict.
         self._time_to_verdict_us = 0
+        # The run of each controller whose new presence was last counted as a contact.
         self._known_runs: dict[str, str] = {}
+        # Names of the controllers for which an exchange, a probe or a fencing is in progress.
         self._exchanging: set[str] = set()
         self._probing: set[str] = set()
         self._fencing: set[str] = set()
@@ -305,7 +309,7 @@
         )
 
     def _is_dead(self, peer: PeerMonitor) -> bool:
-        """Whether it is absent from the state service and not part of the current term."""
+        """Whether a controller is absent from the state service and from the current term."""
         term = self._leadership.term
         runs = term.runs if term is not None else {}
         return peer.node not in self._present() and peer.node not in runs
--- a/mosswalk/detection/fence.py
+++ b/mosswalk/detection/fence.py
@@ -1,4 +1,7 @@
-"""Withholds a controller's authority after a freeze, until the state service confirms it."""
+"""Withholds a controller's authority after a freeze, until the state service confirms it.
+
+A freeze is a stall of this process that lasts longer than a window.
+"""
 
 from __future__ import annotations
 
@@ -16,7 +19,7 @@
 
 # How often the event loop's progress is recorded in each window.
 _PROGRESS_UPDATES_PER_WINDOW = 12
-_RETRY_S = 0.2
+_RETRY_DELAY_S = 0.2
 
 
 class AuthorityCheck(Protocol):
@@ -71,8 +74,8 @@
     def may_renew_worker_leases(self) -> bool:
         """Whether a leader may renew workers' leases, within its time limit for outages.
 
-        It may, too, if the state service refuses to confirm its authority. Waiting would not show
-        whether that is an outage, and the time limit is meant for a leader that does not know.
+        It may do so even if the state service refuses to confirm its authority. Waiting would not
+        show whether that is an outage, and the time limit exists because a leader can't know this.
         """
         return self.may_act() or self._refused
 
@@ -81,7 +84,7 @@
         if self.may_act():
             return
         async with self._confirming:
-            freezes = self.freezes
+            freezes_before = self.freezes
             while not self.may_act():
                 try:
                     await self._check.confirm_authority()
@@ -90,9 +93,9 @@
                     raise
                 except UnknownOutcomeError as error:
                     raise RefusedError(f"authority not confirmed: {error}") from None
-                if freezes == self.freezes:
+                if freezes_before == self.freezes:
                     self._withheld = self._refused = False
-                freezes = self.freezes
+                freezes_before = self.freezes
 
     async def run(self) -> None:
         """Record the event loop's progress periodically; never returns."""
@@ -112,7 +115,7 @@
                 await self.confirm()
             except RefusedError as error:
                 log.debug("authority not confirmed: %s", error)
-                await asyncio.sleep(_RETRY_S)
+                await asyncio.sleep(_RETRY_DELAY_S)
 
 
 class CommitGate:
--- a/mosswalk/detection/heartbeats.py
+++ b/mosswalk/detection/heartbeats.py
@@ -74,16 +74,17 @@
         return Heartbeat(self._leadership.node, self._leadership.run_id, stalled, rows)
 
     def check_for_stall(self) -> None:
-        """Check for a stall, also between ticks.
+        """Check whether this process has stalled.
 
-        Work that was queued during a stall may run before the tick that would detect it.
+        A check at each tick is not enough: work that was queued during a stall may run before the
+        next tick.
         """
         now_us = self._clock.now_us()
         interval_us = to_us(self._tuning.heartbeat_s)
         stall_us = self._stall_monitor.check(now_us, self._clock.wall_us(), interval_us)
         if stall_us:
             log.info(
-                "this process stalled for %.1f s; silence is counted from now on",
+                "this process stalled for %.1f s; silence of other controllers counts from now on",
                 stall_us / SECOND_US,
             )
 
@@ -134,7 +135,7 @@
         return present is None or present.lease is not UNSET
 
     async def probe_through_others(self, peer: PeerMonitor) -> None:
-        """Ask up to ``probes`` present controllers to reach one that this one doesn't hear."""
+        """Ask up to ``probes`` present controllers to try to reach one that is silent."""
         present = self._leadership.present
         candidates = [node for node in self._monitors if node != peer.node and node in present]
         selected = self._rng.sample(candidates, min(self._tuning.probes, len(candidates)))
--- a/mosswalk/detection/quorum.py
+++ b/mosswalk/detection/quorum.py
@@ -24,7 +24,7 @@
 
 
 class Vote(Struct, frozen=True):
-    """An observer's statement that a controller is silent, and whether it refuses connections."""
+    """An observer's report that a controller is silent, and whether it refuses connections."""
 
     observer: str
     refused: bool
@@ -74,7 +74,7 @@
     """Whether to declare a controller dead: a quorum agrees, and it has been silent long enough.
 
     At most one verdict is given per silence: a run that was fenced and took a new lease is alive,
-    though not heard by this controller.
+    although this controller receives nothing from it.
     """
     if peer.verdict_given or len(votes) < quorum_size(controllers):
         return False
--- a/mosswalk/detection/renewer.py
+++ b/mosswalk/detection/renewer.py
@@ -101,8 +101,8 @@
 
     async def _renew_when_due(self) -> None:
         connector = aiohttp.TCPConnector(limit=1)
-        async with aiohttp.ClientSession(connector=connector) as session:
-            client = StateClient(session, self._address, _MAX_RPS, self._clock)
+        async with aiohttp.ClientSession(connector=connector) as http:
+            client = StateClient(http, self._address, _MAX_RPS, self._clock)
             while not self._stopping.is_set():
                 await asyncio.sleep(to_s(self._renew_interval_us) / 2)
                 await self._renew_once(client)
--- a/mosswalk/detection/suspicion.py
+++ b/mosswalk/detection/suspicion.py
@@ -1,4 +1,4 @@
-"""What a controller concludes about another one from contacts and silence. No I/O."""
+"""Derives the state and the suspicion of another controller from its contacts. No I/O."""
 
 from __future__ import annotations
 
@@ -12,6 +12,8 @@
 # A suspicion that begins within this many times ``settle_most_s`` of the end of the previous one
 # is a recurrence.
 _RECURRENCE_WINDOW_FACTOR = 2
+# Bounds the shift that computes the damping period.
+_MAX_DOUBLINGS = 16
 
 
 class StateChange(Struct, frozen=True):
@@ -28,8 +30,8 @@
     """Monitors one other controller through the contacts received from it.
 
     ``state`` describes the link now. ``suspected`` is reset only once the state has been ``alive``
-    for the damping period, so that a flapping link does not alternate between giving its
-    controller work and withholding it.
+    for the damping period, so that a controller whose link flaps is not alternately given work and
+    denied it.
     """
 
     def __init__(self, node: str, tuning: DetectionTuning, now_us: int) -> None:
@@ -39,15 +41,16 @@
         self.last_heard_at_us = now_us
         self.state: LinkState = "alive"
         self.state_since_us = now_us
-        # Whether the latest request failed because the connection was refused; False once it is
-        # heard again.
+        # Whether the latest request to the peer failed because the connection was refused; False
+        # after the next contact.
         self.refused = False
-        # Since when it has been reporting that it doesn't hear this controller.
+        # Since when the peer has been reporting that it receives nothing from this controller.
         self.not_receiving_since_us: int | None = None
-        # This controller's requests to it: when one was last answered, and since when none was.
+        # When the peer last answered a request of this controller.
         self.last_answered_at_us = now_us
+        # When the first request that failed since that answer was sent; None if none has failed.
         self.unanswered_since_us: int | None = None
-        # When a third controller last reached it, or reports having heard it.
+        # When a third controller last reached the peer, or reports a contact with it.
         self.heard_by_others_at_us: int | None = None
         # Whether probes by third controllers have ended during this silence, with any result.
         self.probed = False
@@ -82,18 +85,18 @@
         self.refused = self.probed = self.verdict_given = False
 
     def record_answer(self, now_us: int) -> None:
-        """Record that it answered a request of this controller."""
+        """Record that the peer answered a request of this controller."""
         self.last_answered_at_us = now_us
         self.unanswered_since_us = None
 
     def record_failed_request(self, sent_at_us: int, *, refused: bool) -> None:
-        """Record that it did not answer a request that was sent at ``sent_at_us``."""
+        """Record that the peer did not answer a request that was sent at ``sent_at_us``."""
         self.refused = refused
         if self.unanswered_since_us is None:
             self.unanswered_since_us = sent_at_us
 
     def _is_receiving(self, now_us: int, listening_since_us: int) -> bool:
-        """Whether this controller's requests reach it, by its own report and by its answers."""
+        """Whether this controller's requests reach the peer, by its reports and its answers."""
         timeout_us = self.timeout.timeout_us()
         return all(
             since_us is None or now_us - max(since_us, listening_since_us) <= timeout_us
@@ -101,7 +104,7 @@
         )
 
     def record_not_receiving(self, not_receiving: bool, now_us: int) -> None:
-        """Record whether it reports that it does not hear this controller."""
+        """Record whether the peer reports that it receives nothing from this controller."""
         if not not_receiving:
             self.not_receiving_since_us = None
         elif self.not_receiving_since_us is None:
@@ -119,7 +122,7 @@
         self._alive_since_us = None
 
     def needs_probe(self, now_us: int, listening_since_us: int) -> bool:
-        """Whether to ask third controllers before anything is concluded from its silence."""
+        """Whether third controllers have to probe the peer before its silence is evaluated."""
         return not self.probed and self.suspicion_level(now_us, listening_since_us) > 1
 
     def update_state(self, now_us: int, listening_since_us: int) -> StateChange | None:
@@ -176,5 +179,10 @@
         self._recurrences = self._recurrences + 1 if is_recurrence else 0
 
     def damping_us(self) -> int:
-        """How long the state must stay ``alive`` before a suspicion ends; doubles as it recurs."""
-        return min(self._max_damping_us, self._min_damping_us << min(self._recurrences, 16))
+        """How long the state must stay ``alive`` before a suspicion ends.
+
+        The time doubles with each recurrence, up to a limit.
+        """
+        return min(
+            self._max_damping_us, self._min_damping_us << min(self._recurrences, _MAX_DOUBLINGS)
+        )
--- a/mosswalk/detection/view.py
+++ b/mosswalk/detection/view.py
@@ -53,12 +53,13 @@
 
 
 class DetectionMetrics(Struct, frozen=True):
-    """Values for the metrics; the counts begin with this process."""
+    """Values for the metrics; the counts start from 0 with this process."""
 
     suspicions: int
     false_suspicions: int
     verdicts: int
-    # Of the latest verdict given by this controller: time since the last contact.
+    # Time from the last contact with a controller to the verdict on it, for the latest verdict that
+    # this controller has given.
     time_to_verdict_s: float
     stalls: int
     freezes: int
