--- a/mosswalk/config/__init__.py
+++ b/mosswalk/config/__init__.py
@@ -72,7 +72,7 @@
     lease_s: float
     cancel_s: float
     # How long a task of a gang waits for the others to start, and how soon it notices that one of
-    # them is gone.
+    # them no longer runs.
     gang_wait_s: float = 60.0
     gang_peer_s: float = 5.0
 
@@ -96,7 +96,10 @@
     next: NextStateLimits | None = None
 
     def lowest(self) -> StateLimits:
-        """The limits to keep to, whether or not the next ones apply already."""
+        """The lower of the current and the next value of each limit.
+
+        They are respected whether or not the next ones apply already.
+        """
         if self.next is None:
             return self
         lowered = {
--- a/mosswalk/config/detection.py
+++ b/mosswalk/config/detection.py
@@ -24,8 +24,8 @@
     ceiling_s: float = 2.0
     # How many other controllers are asked to reach a controller before it is suspected.
     probes: int = 2
-    # How long a controller must have been in the state ``silent`` before a quorum's verdict: if the
-    # connections of the whole quorum are refused, and otherwise.
+    # How long a controller must have been in the state ``silent`` before a quorum declares it dead:
+    # ``refused_s`` if the connections of the whole quorum are refused, otherwise ``silent_s``.
     refused_s: float = 0.6
     silent_s: float = 3.0
     # How long a suspicion lasts after the link has recovered, doubled with each recurrence up to
--- a/mosswalk/config/operator.py
+++ b/mosswalk/config/operator.py
@@ -35,11 +35,11 @@
     # refusals.
     pool_cap: int = 100_000
     idle_keep_s: float = 3.0
-    # Tasks that may use spot machines get on-demand ones that are up after they have waited this
-    # long.
+    # If no spot machine is available for tasks that may use one, an on-demand machine is rented in
+    # time to be up once they have waited this long.
     steady_within_s: float = 45.0
-    # The waiting tasks must fill this fraction of a new machine, if there are others that they can
-    # wait for.
+    # The waiting tasks must fill this fraction of a new machine, if they could wait for capacity on
+    # existing ones.
     least_fill: float = 0.5
 
 
--- a/mosswalk/peers/__init__.py
+++ b/mosswalk/peers/__init__.py
@@ -36,8 +36,8 @@
 class PeerClient:
     """Sends requests to the other controllers, which are addressed by name."""
 
-    def __init__(self, session: aiohttp.ClientSession, settings: Settings) -> None:
-        self._session = session
+    def __init__(self, http: aiohttp.ClientSession, settings: Settings) -> None:
+        self._http = http
         self._addresses = {peer.host_name: peer.address for peer in settings.known}
 
     async def _post(self, node: str, path: str, message: object, timeout_s: float) -> bytes:
@@ -45,7 +45,7 @@
         if address is None:
             raise PeerError(f"unknown controller {node}")
         try:
-            async with self._session.post(
+            async with self._http.post(
                 f"http://{address}{path}",
                 data=msgspec.msgpack.encode(message),
                 timeout=aiohttp.ClientTimeout(total=timeout_s, sock_connect=1.0),
@@ -75,11 +75,11 @@
         return await self._request(node, "/offer", message, 5.0, OfferAnswer)
 
     async def peer_status(self, node: str) -> PeerStatus:
-        """Ask another controller how it sees the state service and the workers."""
+        """Ask another controller whether it is served, and how many stray workers report to it."""
         return await self._request(node, "/sight", None, 1.0, PeerStatus)
 
     async def exchange(self, node: str, heartbeat: Heartbeat) -> PeerStatus:
-        """Ask for the same status, and exchange heartbeats if failure detection is on there too."""
+        """Ask for the status and exchange heartbeats; one without failure detection sends none."""
         return await self._request(node, "/sight", heartbeat, 1.0, PeerStatus)
 
     async def probe(self, node: str, subject: str) -> ProbeAnswer:
--- a/mosswalk/peers/health.py
+++ b/mosswalk/peers/health.py
@@ -3,9 +3,9 @@
 On its own, a controller can't distinguish an outage of the state service from being the only one
 that the service refuses. In an outage, all controllers should stay in the load balancer's list and
 report the outage at once. One that is refused alone should leave the list, since its users would
-get 503 while other controllers are served. So it asks the other controllers. A leader asks them
-too, to know which of them it can't reach, and whether workers that should report to it turn to
-them instead.
+get 503 while other controllers are served. A controller that is not served therefore asks the
+others. A leader asks them even while it is served, to know which of them it can't reach, and
+whether workers report to them because they can't reach the leader.
 """
 
 from __future__ import annotations
@@ -21,21 +21,23 @@
 log = logging.getLogger(__name__)
 
 # A watch without events lasts 2 s and confirms the state as of its beginning. Before the next one
-# ends, that is up to 4.2 s ago. With a lower limit, all followers took themselves for refused in a
-# minute without changes.
+# ends, that is up to 4.2 s ago. With a lower limit, all followers considered themselves refused in
+# a minute without changes.
 MAX_CONFIRMATION_AGE_US = 5_500_000
 _CHECK_INTERVAL_S = 1.0
+# A controller counts as unreachable after this many failed requests in a row.
+_UNREACHABLE_AFTER_FAILURES = 2
 
 
 class PeerStatusClient(Protocol):
     """Requests the status of other controllers."""
 
     async def peer_status(self, node: str) -> PeerStatus:
-        """Ask another controller how it sees the state service and the workers."""
+        """Ask another controller whether it is served, and how many stray workers report to it."""
 
 
 class Health:
-    """Watches whether the state service serves this controller; if not, asks the others."""
+    """Checks whether the state service serves this controller, and asks the others if needed."""
 
     def __init__(
         self,
@@ -54,7 +56,7 @@
         self._leads = leads
         self._on_unreachable = on_unreachable
         self._on_stray_workers = on_stray_workers
-        # Controllers that did not answer the last time that this one asked while it was not
+        # Controllers that did not answer the latest requests that this one sent while it was not
         # served; None while it is served.
         self.unreachable_peers: frozenset[str] | None = None
         # Consecutive failed requests, by controller.
@@ -107,7 +109,11 @@
                 self._consecutive_failures[node] + 1 if answer is None else 0
             )
         self._on_unreachable(
-            frozenset(n for n, times in self._consecutive_failures.items() if times >= 2)
+            frozenset(
+                node
+                for node, failures in self._consecutive_failures.items()
+                if failures >= _UNREACHABLE_AFTER_FAILURES
+            )
         )
         if served:
             self._on_stray_workers(sum(peer.stray_workers for peer in answers if peer is not None))
@@ -128,7 +134,8 @@
         isolated = self.served_peer is not None or all(answer is None for answer in answers)
         if isolated and not self.isolated:
             log.info(
-                "the state service does not serve this controller; one that it serves: %s",
+                "the state service does not serve this controller, so /healthz answers 'not ready';"
+                " a controller that is served: %s",
                 self.served_peer or "none known",
             )
         self.isolated = isolated
--- a/mosswalk/peers/withdrawal_broadcast.py
+++ b/mosswalk/peers/withdrawal_broadcast.py
@@ -20,8 +20,11 @@
 
 log = logging.getLogger(__name__)
 
-_RETRY_PAUSE_S = 0.5
-# A record takes up to value_kb, and a message should stay below 4 MiB.
+_RETRY_DELAY_S = 0.5
+# The retry delay is multiplied by a random factor between these.
+_MIN_JITTER = 0.7
+_MAX_JITTER = 1.3
+# A record takes up to the setting ``value_kb``, and a message should stay below 4 MiB.
 _MAX_PER_MESSAGE = 32
 
 
@@ -49,6 +52,7 @@
         self._retention_us = retention_us
         self._clock = clock
         self._rng = rng
+        # By controller and job: when to drop the withdrawal, and the withdrawal.
         self._pending: dict[str, OrderedDict[str, tuple[int, Withdrawal]]] = {
             node: OrderedDict() for node in others
         }
@@ -79,7 +83,9 @@
                     await self._peers.withdrawn(node, Withdrawals(batch))
                 except Exception as error:
                     log.debug("withdrawals not sent to %s: %s", node, error)
-                    await asyncio.sleep(_RETRY_PAUSE_S * self._rng.uniform(0.7, 1.3))
+                    await asyncio.sleep(
+                        _RETRY_DELAY_S * self._rng.uniform(_MIN_JITTER, _MAX_JITTER)
+                    )
                     continue
                 for withdrawal in batch:
                     self._pending[node].pop(withdrawal.job, None)
--- a/mosswalk/wire/peers.py
+++ b/mosswalk/wire/peers.py
@@ -6,6 +6,12 @@
 
 from msgspec import UNSET, Struct, UnsetType, field
 
+# How an attempt ended:
+# done: the task exited successfully;
+# error: it failed;
+# stopped: it was stopped by a command, or because of other tasks of its gang;
+# refused: the worker could not run it, or reported a cause of exit that is not known here;
+# lost: its worker or its machine no longer has it.
 OutcomeKind = Literal["done", "error", "stopped", "refused", "lost"]
 
 
@@ -68,6 +74,11 @@
     outcomes: tuple[Outcome, ...]
 
 
+# The state of a controller's link to another one, the observed controller:
+# alive: messages arrive in both directions;
+# silent: messages of the observed controller reach neither this one nor those that it asked;
+# unheard: they reach other controllers, but not this one;
+# unhearing: they arrive, but this controller's messages don't reach the observed one.
 LinkState = Literal["alive", "silent", "unheard", "unhearing"]
 
 
