--- a/mosswalk/cli/__init__.py
+++ b/mosswalk/cli/__init__.py
@@ -29,7 +29,7 @@
 
     for name, text in (
         ("serve", "run a controller until it is killed"),
-        ("check", "check settings and say what is wrong with them"),
+        ("check", "check the settings and report the first error in them"),
     ):
         command = commands.add_parser(name, help=text, description=text)
         command.add_argument("--config", required=True, type=Path, help="the platform's TOML file")
@@ -41,10 +41,13 @@
     withdraw = commands.add_parser("withdraw", help="cancel a job")
     for command in (status, withdraw):
         command.add_argument("job", help="the job's id, like j-000412")
-    peers = commands.add_parser("peers", help="show who reaches whom, and who is suspected")
+    peers = commands.add_parser("peers", help="show links between controllers and suspicions")
     for command in (submit, status, withdraw, peers):
         command.add_argument(
-            "--server", required=True, metavar="HOST:PORT", help="a controller's serve_on"
+            "--server",
+            required=True,
+            metavar="HOST:PORT",
+            help="a controller's address: its setting serve_on",
         )
     return parser
 
--- a/mosswalk/cli/client.py
+++ b/mosswalk/cli/client.py
@@ -70,8 +70,8 @@
     timeout = aiohttp.ClientTimeout(total=_TIMEOUT_S)
     try:
         async with (
-            aiohttp.ClientSession(timeout=timeout) as session,
-            session.request(method, f"http://{options.server}{path}", data=body) as response,
+            aiohttp.ClientSession(timeout=timeout) as http,
+            http.request(method, f"http://{options.server}{path}", data=body) as response,
         ):
             text = (await response.read()).decode(errors="replace").strip()
             status, retry_after_s = response.status, response.headers.get("Retry-After")
--- a/mosswalk/cli/peers.py
+++ b/mosswalk/cli/peers.py
@@ -40,8 +40,10 @@
     by_pair = {(cell.observer, cell.node): cell for cell in cells}
     rows = [("HEARS", *nodes)]
     for observer in sorted({cell.observer for cell in cells}):
-        found = (by_pair.get((observer, node)) for node in nodes)
-        entries = (f"{c.state} {c.last_heard_age_s:.1f} s" if c is not None else "-" for c in found)
+        row_cells = (by_pair.get((observer, node)) for node in nodes)
+        entries = (
+            f"{c.state} {c.last_heard_age_s:.1f} s" if c is not None else "-" for c in row_cells
+        )
         rows.append((observer, *entries))
     return _format_columns(rows)
 
@@ -50,7 +52,7 @@
     """Format a response to GET /peers; raises msgspec.DecodeError if it is malformed."""
     view = msgspec.json.decode(body, type=DetectionView)
     activity = "in force" if view.active else "not in force: not all controllers take part"
-    parts = [
+    sections = [
         f"{view.node}: term {view.term}, leader {view.leader or 'none'}; detection {activity};"
         f" stalls here {view.stalls}, freezes {view.freezes}",
         _format_columns([_PEER_COLUMNS, *map(_peer_row, view.peers)]),
@@ -58,7 +60,7 @@
     ]
     for verdict in view.verdicts:
         observers = f", agreed by {', '.join(verdict.observers)}" if verdict.observers else ""
-        parts.append(
+        sections.append(
             f"verdict of this term: {verdict.node} ({verdict.run}): {verdict.reason}{observers}"
         )
-    return "\n\n".join(parts)
+    return "\n\n".join(sections)
--- a/mosswalk/cli/serve.py
+++ b/mosswalk/cli/serve.py
@@ -49,7 +49,7 @@
 
     # Objects made during start-up live as long as the process, so they are frozen: traversing them
     # in each collection would waste processor time. The default threshold would start a collection
-    # after every 700 new objects, which is a part of one report; few objects are ever in a cycle.
+    # after every 700 new objects, fewer than one report creates; few objects are ever in a cycle.
     gc.collect()
     gc.freeze()
     gc.set_threshold(20_000, 20, 20)
--- a/mosswalk/cloud/actor.py
+++ b/mosswalk/cloud/actor.py
@@ -18,6 +18,7 @@
 
 # The rest of the rate limit is left for the last calls of a deposed leader.
 _RATE_SHARE = 0.9
+# Up to this many seconds' worth of calls can be made at once, or _MIN_BURST_CALLS if that is more.
 _BURST_S = 1.5
 _MIN_BURST_CALLS = 2.0
 _MAX_RENT_ATTEMPTS = 5
@@ -83,10 +84,11 @@
             rps * _RATE_SHARE, max(_MIN_BURST_CALLS, rps * _BURST_S), clock.now_us()
         )
         self._on_result = on_result
-        # Checked right before each call that changes something.
+        # Whether this controller may act as the leader; checked right before each call that changes
+        # something.
         self._has_authority = has_authority
-        # Checked where the above fails: whether releases that must not wait for the state service
-        # may be made all the same.
+        # Whether releases that must not wait for the state service may be made without that
+        # authority.
         self._may_release_urgent = may_release_urgent
         # Machines to release; the urgent ones are in both sets.
         self._releases: set[str] = set()
@@ -127,8 +129,8 @@
         for attempt in range(_MAX_RENT_ATTEMPTS):
             await self._wait_for_rate()
             if not self._has_authority():
-                # This process may have stalled and another controller lead by now; the rental that
-                # was decided before must not be made then.
+                # This process may have stalled, and another controller may lead by now. The rental,
+                # which was decided earlier, must not be made then.
                 break
             try:
                 machines = await self._client.rent(request)
@@ -196,13 +198,13 @@
 
     async def refresh_machine_list(self) -> None:
         """Read all pages of the machine list and report it."""
-        rows: list[wire.ListedMachine] = []
+        machines: list[wire.ListedMachine] = []
         after: str | None = None
         try:
             while True:
                 await self._wait_for_rate()
                 page = await self._client.list_page(after)
-                rows += page.machines
+                machines += page.machines
                 if not page.truncated or not page.machines:
                     break
                 after = page.machines[-1].name
@@ -210,7 +212,7 @@
             self._record_failure("machine list", error)
             return
         self._record_success()
-        self._on_result(ListResult(tuple(rows)))
+        self._on_result(ListResult(tuple(machines)))
 
     async def refresh_machine_types(self) -> bool:
         """Read machine types and prices and report them; return whether that succeeded."""
--- a/mosswalk/cloud/bucket.py
+++ b/mosswalk/cloud/bucket.py
@@ -4,6 +4,9 @@
 
 from mosswalk.actors import SECOND_US
 
+# Absorbs rounding errors of the token count.
+_TOLERANCE_TOKENS = 1e-9
+
 
 class TokenBucket:
     """A bucket that gains ``rate`` tokens per second and holds at most ``burst``."""
@@ -11,7 +14,7 @@
     def __init__(self, rate: float, burst: float, now_us: int) -> None:
         self._interval_us = SECOND_US / rate
         self._burst_us = burst * self._interval_us
-        # The instant since which tokens have accumulated; in the future if tokens were taken ahead.
+        # Since when tokens have accumulated; in the future if some were taken in advance.
         self._empty_at_us = now_us - self._burst_us
 
     def change_rate(self, rate: float, now_us: int) -> None:
@@ -32,7 +35,7 @@
 
     def take(self, now_us: int, tokens: float = 1.0) -> bool:
         """Take tokens if that many are available; return whether they were."""
-        if self.available(now_us) < tokens - 1e-9:
+        if self.available(now_us) < tokens - _TOLERANCE_TOKENS:
             return False
         self._empty_at_us += tokens * self._interval_us
         return True
--- a/mosswalk/cloud/client.py
+++ b/mosswalk/cloud/client.py
@@ -1,4 +1,4 @@
-"""HTTP client of the cloud's API: one method per endpoint, and errors by their meaning."""
+"""HTTP client of the cloud's API, with an exception type for each kind of failure."""
 
 from __future__ import annotations
 
--- a/mosswalk/metrics.py
+++ b/mosswalk/metrics.py
@@ -37,7 +37,7 @@
         yield Metric("leads", "1 if this controller is the leader", float(c.leadership.leads()))
         yield Metric("term", "The current term", float(c.leadership.term_number()))
         version = c.leadership.term.version if c.leadership.term is not None else 0
-        yield Metric("version", "Version that all controllers support; 2: gangs", float(version))
+        yield Metric("version", "Version all controllers support; gangs need 2", float(version))
         yield Metric("jobs_open", "Jobs that have not ended", float(len(c.registry.jobs)))
         yield Metric(
             "attempts_live",
@@ -83,7 +83,7 @@
         )
         yield Metric(
             "detection_false_suspicions",
-            "Suspicions that were withdrawn",
+            "Suspicions that ended because the link recovered",
             detection.false_suspicions,
         )
         yield Metric(
--- a/mosswalk/service.py
+++ b/mosswalk/service.py
@@ -1,4 +1,4 @@
-"""Constructs one controller from its parts, connects them, and serves it."""
+"""Constructs one controller from its components, connects them, and serves it."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
 
 
 class Controller:
-    """One controller and its parts; clients, clock and randomness can be replaced by tests.
+    """One controller and its components; tests can replace HTTP clients, clock and randomness.
 
     ``command_http`` sends commands to workers; ``http`` sends everything else.
     """
@@ -312,5 +312,5 @@
         await listen(peers, settings.cluster_listen, max_connections)
         controller.start_lease_renewer()
         log.info("%s is serving on %s", settings.host_name, settings.serve_on)
-        # No loop returns.
+        # None of the loops returns.
         await asyncio.gather(*controller.background_loops())
--- a/mosswalk/wire/users.py
+++ b/mosswalk/wire/users.py
@@ -128,7 +128,7 @@
     If that job was accepted before, the answer is its state instead of an error.
     """
     try:
-        found = _id_decoder.decode(body).id
+        job_id = _id_decoder.decode(body).id
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError):
         return None
-    return found if JOB_ID.match(found) else None
+    return job_id if JOB_ID.match(job_id) else None
