--- a/mosswalk/detection/suspicion.py
+++ b/mosswalk/detection/suspicion.py
@@ -1,4 +1,4 @@
-"""Derives the state and the suspicion of another controller from its contacts. No I/O."""
+"""Derives the state and the suspicion of a controller from contacts and silence. No I/O."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
         self.not_receiving_since_us: int | None = None
         # When the peer last answered a request of this controller.
         self.last_answered_at_us = now_us
-        # When the first request that failed since that answer was sent; None if none has failed.
+        # Send time of the first request that failed since that answer; None if none has failed.
         self.unanswered_since_us: int | None = None
         # When a third controller last reached the peer, or reports a contact with it.
         self.heard_by_others_at_us: int | None = None
