--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""The same verdict every time: generated inputs are derived from the tests alone."""
+"""Makes property-based tests deterministic: inputs are derived from the test's source alone."""
 
 from hypothesis import HealthCheck, settings
 
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -1,4 +1,7 @@
-"""Stand-ins for the outside systems, written from their published protocol."""
+"""Fakes of the clock and the state service, and builders of test data.
+
+The state service is written from its published protocol.
+"""
 
 from __future__ import annotations
 
@@ -15,12 +18,12 @@
 from mosswalk.wire.cloud import MachineType
 from mosswalk.wire.users import JobSpec
 
-# What the records of tests may take.
+# Limits that tests use for the records in the state service.
 RECORD_LIMITS = RecordLimits(16 * 1024, 16)
 
 
 class FakeClock:
-    """Time moves only when a test says so."""
+    """A clock whose time only tests advance."""
 
     def __init__(self) -> None:
         self.us = 1_000_000
@@ -33,7 +36,7 @@
 
 
 class InMemoryStore:
-    """The state service's rules, without a network."""
+    """The rules of the state service in memory: versions, guards, leases and events."""
 
     def __init__(self) -> None:
         self.revision = 0
@@ -82,18 +85,23 @@
 
     def end_lease(self, lease: int) -> None:
         self.leases.discard(lease)
-        gone = [k for k, row in self.rows.items() if row[2] == lease]
-        if gone:
+        expired = [k for k, row in self.rows.items() if row[2] == lease]
+        if expired:
             self.revision += 1
-        for key in gone:
+        for key in expired:
             self._delete(key)
 
 
 class FakeStateClient:
-    """A state client whose calls fail, or are carried out late, as a test has planned.
+    """A client of the state service whose commits fail or are delayed as a test has planned.
+
+    Each commit takes one entry of ``planned_results``; without an entry it succeeds:
 
-    Each entry of ``plan`` is used by one commit: ok, refused, lost (never carried out), late
-    (carried out when the test calls ``deliver``) or blind (carried out, answer lost).
+    - ``ok``: executed and answered
+    - ``refused``: the service refuses it
+    - ``lost``: never executed, and the caller gets no answer
+    - ``late``: the caller gets no answer; executed when the test calls ``commit_delayed``
+    - ``blind``: executed, but the caller gets no answer
     """
 
     def __init__(self, store: InMemoryStore) -> None:
@@ -104,22 +112,22 @@
 
     async def commit(self, transaction: wire.Transaction, timeout_s: float = 0) -> int:
         self.commit_count += 1
-        fate = self.planned_results.popleft() if self.planned_results else "ok"
-        if fate == "refused":
+        result = self.planned_results.popleft() if self.planned_results else "ok"
+        if result == "refused":
             raise RefusedError("planned")
-        if fate == "lost":
+        if result == "lost":
             raise UnknownOutcomeError("planned")
-        if fate == "late":
+        if result == "late":
             self.delayed_transactions.append(transaction)
             raise UnknownOutcomeError("planned")
         revision = self.store.commit(transaction)
-        if fate == "blind":
+        if result == "blind":
             raise UnknownOutcomeError("planned")
         return revision
 
     def commit_delayed(self) -> None:
-        held, self.delayed_transactions = self.delayed_transactions, []
-        for transaction in held:
+        delayed, self.delayed_transactions = self.delayed_transactions, []
+        for transaction in delayed:
             with contextlib.suppress(ConflictError):
                 self.store.commit(transaction)
 
@@ -150,7 +158,7 @@
 
 
 def job_spec(job_id: str = "j-000001", **changes: object) -> JobSpec:
-    """A job that is easy to place."""
+    """Build a job that fits on nearly every machine; ``changes`` replace single fields."""
     fields: dict = {
         "id": job_id,
         "job_class": "batch",
@@ -174,7 +182,7 @@
 
 
 def machine_type(name: str = "small", **changes: object) -> MachineType:
-    """A machine type."""
+    """Build a machine type; ``changes`` replace single fields."""
     fields: dict = {
         "cpus": 4.0,
         "gpus": 0.0,
