--- a/tests/test_detection_processes.py
+++ b/tests/test_detection_processes.py
@@ -1,4 +1,7 @@
-"""The trial in short, on real processes: counts and order only, no times."""
+"""A short detection trial on real processes, and ``mosswalk peers``.
+
+The trial is checked for counts and order only, not for durations.
+"""
 
 import asyncio
 from contextlib import AsyncExitStack
@@ -11,13 +14,12 @@
 from mosswalk.cli.peers import format_detection_view
 from mosswalk.detection.view import DetectionView, MatrixCell, PeerView
 from mosswalk.store.records import Verdict
-from tests.detection_report import outcomes, page
-from tests.detection_report import table as figures
+from tests.detection_report import format_table, read_outcomes, render_page
 from tests.detection_trial import Trial
 from tests.loopback import LoopbackCluster, free_port
 
-# A third of deploy/detection.hcl, so that a fault takes seconds.
-QUICK = """
+# A third of the durations in deploy/detection.hcl, so that a fault takes only seconds.
+FAST_DETECTION_HCL = """
 leadership {
   ttl_s   = 2.0
   renew_s = 0.3
@@ -43,24 +45,24 @@
 ]
 
 
-def test_each_job_is_answered_once_and_nothing_moves_before_a_verdict(tmp_path):
+def test_jobs_have_one_final_answer_and_teams_move_only_after_a_verdict(tmp_path):
     operator_file = tmp_path / "detection.hcl"
-    operator_file.write_text(QUICK)
-    trial = Trial(5, operator_file, calm_s=3.0, scale=1.0)
-    asyncio.run(asyncio.wait_for(trial.run(FAULTS, detects=True), 150))
+    operator_file.write_text(FAST_DETECTION_HCL)
+    trial = Trial(5, operator_file, recovery_s=3.0, time_scale=1.0)
+    asyncio.run(asyncio.wait_for(trial.run(FAULTS, detection_enabled=True), 150))
     trial.check()
-    assert len(trial.accepted) > 20
-    trial.write(tmp_path / "history.jsonl", baseline=False)
-    found = outcomes(tmp_path / "history.jsonl")
-    assert [o.fault for o in found] == [kind for kind, _ in FAULTS]
-    killed, frozen = found[3], found[5]
+    assert len(trial.accepted_jobs) > 20
+    trial.write_history(tmp_path / "history.jsonl", baseline=False)
+    outcomes = read_outcomes(tmp_path / "history.jsonl")
+    assert [o.fault for o in outcomes] == [kind for kind, _ in FAULTS]
+    killed, frozen = outcomes[3], outcomes[5]
     assert killed.to_verdict_s is not None and killed.terms
     assert frozen.to_suspicion_s is not None and frozen.terms
-    assert figures(found).count("\n") >= len({(o.fault, o.for_s) for o in found})
-    assert "Failure detection" in page(found)
+    assert format_table(outcomes).count("\n") >= len({(o.fault, o.duration_s) for o in outcomes})
+    assert "Failure detection" in render_page(outcomes)
 
 
-VIEW = DetectionView(
+DETECTION_VIEW = DetectionView(
     "moss-0",
     "moss-0",
     7,
@@ -76,8 +78,8 @@
 )
 
 
-def test_the_table_shows_who_reaches_whom_and_why():
-    text = format_detection_view(msgspec.json.encode(VIEW))
+def test_peers_output_shows_states_matrix_and_verdicts():
+    text = format_detection_view(msgspec.json.encode(DETECTION_VIEW))
     assert "term 7, leader moss-0; detection in force; stalls here 1" in text
     assert "moss-1      silent  yes        2.5 s  3.25 s ago  1.20 s    2.70   not heard" in text
     rows = [" ".join(line.split()) for line in text.splitlines()]
@@ -85,20 +87,20 @@
     assert "moss-2 (r2): quorum, agreed by moss-0, moss-1" in text
 
 
-def test_the_command_is_answered_by_a_controller_without_detection(capsys):
+def test_peers_command_explains_a_controller_without_detection(capsys):
     async def ask():
         async with AsyncExitStack() as stack:
-            world = LoopbackCluster()
-            await world.start(stack)
-            options = SimpleNamespace(command="peers", server=world.addresses["moss-0"])
+            cluster = LoopbackCluster()
+            await cluster.start(stack)
+            options = SimpleNamespace(command="peers", server=cluster.addresses["moss-0"])
             return await client.run(options)
 
     assert asyncio.run(ask()) == EXIT_REFUSED
-    assert "404" in (shown := capsys.readouterr().err) and "failure detector is off" in shown
+    assert "404" in (output := capsys.readouterr().err) and "failure detector is off" in output
 
 
 @pytest.mark.parametrize(("server", "code"), [("nowhere", 2), ("127.0.0.1:%d", 3)])
-def test_the_command_fails_as_the_others_do(server, code):
+def test_peers_command_has_the_exit_codes_of_the_other_commands(server, code):
     address = server % free_port() if "%" in server else server
     assert code in (EXIT_USAGE, EXIT_UNAVAILABLE)
     assert main(["peers", "--server", address]) == code
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -1,6 +1,6 @@
-"""Real processes of the production version beside ours, on loopback, replaced one by one.
+"""Rolling upgrade: processes of the production version are replaced by the current one.
 
-The production version is taken from the repository's history, as ``deploy/service.toml`` names it.
+The production version is the commit that ``deploy/service.toml`` names. All runs on loopback.
 """
 
 import asyncio
@@ -20,10 +20,10 @@
 from mosswalk.store import records
 from tests.fakes import job_spec
 from tests.loopback import LoopbackCluster, settings_toml
-from tests.test_cluster import Users, until
+from tests.test_cluster import UserClient, wait_until
 
 ROOT = Path(__file__).resolve().parent.parent
-QUICK = """
+FAST_TUNING_HCL = """
 leadership {
   ttl_s   = 0.6
   renew_s = 0.2
@@ -36,8 +36,8 @@
 
 
 @pytest.fixture(scope="module")
-def production(tmp_path_factory):
-    """A checkout of the production version."""
+def production_checkout(tmp_path_factory):
+    """A directory with the sources of the production version."""
     deploy = tomllib.loads((ROOT / "deploy" / "service.toml").read_text())
     archive = subprocess.run(
         ["git", "archive", deploy["production"], "mosswalk", "run.py"],
@@ -51,21 +51,21 @@
     return path
 
 
-class Processes:
-    """Controllers of the production version."""
+class ProductionControllers:
+    """Controller processes of the production version, by name."""
 
-    def __init__(self, world: LoopbackCluster, checkout: Path) -> None:
-        self.world = world
+    def __init__(self, cluster: LoopbackCluster, checkout: Path) -> None:
+        self.cluster = cluster
         self.checkout = checkout
         self.running: dict[str, subprocess.Popen] = {}
 
     def start(self, name: str) -> None:
-        settings = self.world.settings[name]
+        settings = self.cluster.settings[name]
         path = self.checkout / f"{name}.toml"
         lines = settings_toml(settings)
         lines += ["[params.state.next]", "value_kb = 2.0", "txn_ops = 5"]
         path.write_text("\n".join(lines))
-        path.with_suffix(".hcl").write_text(QUICK)
+        path.with_suffix(".hcl").write_text(FAST_TUNING_HCL)
         self.running[name] = subprocess.Popen(
             [sys.executable, "run.py", "--config", str(path)],
             cwd=self.checkout,
@@ -82,51 +82,55 @@
             self.kill(name)
 
 
-def mixed(test, checkout):
+def run_mixed_cluster_test(test, checkout):
     async def run():
         async with AsyncExitStack() as stack:
-            world = LoopbackCluster()
-            # The new version keeps to the limits of later from the start.
-            world.limits = StateLimits(5000.0, 500.0, 2.0, 5)
-            await world.start(stack, start_controllers=False)
-            processes = Processes(world, checkout)
+            cluster = LoopbackCluster()
+            # The current version gets the announced next limits of the state service at once.
+            cluster.state_limits = StateLimits(5000.0, 500.0, 2.0, 5)
+            await cluster.start(stack, start_controllers=False)
+            processes = ProductionControllers(cluster, checkout)
             stack.callback(processes.stop)
-            await test(world, processes, Users(world))
-            assert world.broken == []
+            await test(cluster, processes, UserClient(cluster))
+            assert cluster.violations == []
 
     asyncio.run(asyncio.wait_for(run(), 120))
 
 
-async def submitted(users, job, node):
-    """A job is taken by a controller, once it can decide."""
+async def submit_until_accepted(users, job, node):
+    """Submit a job until a controller accepts it, since it can't decide at once after a start."""
     body = msgspec.json.encode(job)
-    await users.eventually(
+    await users.poll_until(
         "POST", "/api/jobs", lambda s, b: s in (200, 201), 20.0, body=body, node=node
     )
 
 
-def test_versions_are_replaced_one_by_one_while_jobs_run(production):
-    async def test(world, processes, users):
-        names = list(world.addresses)
-        world.services.add("j-000001")
-        world.task_s = 1.0
+def test_rolling_upgrade_keeps_jobs_running(production_checkout):
+    async def test(cluster, processes, users):
+        names = list(cluster.addresses)
+        cluster.daemon_jobs.add("j-000001")
+        cluster.task_duration_s = 1.0
         for name in names:
             processes.start(name)
-        service = job_spec("j-000001", kind="daemon", tasks=3, spot=False)
-        await submitted(users, service, names[0])
-        await submitted(users, job_spec("j-000002", tasks=300, cpus=0.25, memory_gb=0.1), names[1])
-        await until(lambda: sum(t.startswith("j-000001") for t in world.on) == 3, 20.0)
+        daemon = job_spec("j-000001", kind="daemon", tasks=3, spot=False)
+        await submit_until_accepted(users, daemon, names[0])
+        await submit_until_accepted(
+            users, job_spec("j-000002", tasks=300, cpus=0.25, memory_gb=0.1), names[1]
+        )
+        await wait_until(
+            lambda: sum(t.startswith("j-000001") for t in cluster.running_on) == 3, 20.0
+        )
         gang = job_spec("j-000009", kind="group", tasks=4, spot=False)
         for i, name in enumerate(names):
-            where = {t: m for t, m in world.on.items() if t.startswith("j-000001")}
-            assert len(where) == 3
+            placement = {t: m for t, m in cluster.running_on.items() if t.startswith("j-000001")}
+            assert len(placement) == 3
             processes.kill(name)
-            await world.start_controller(name)
-            await users.eventually("GET", "/healthz", lambda s, b: s == 200, 20.0, node=name)
-            # Each takes jobs that all of them run, whoever leads and owns by now.
+            await cluster.start_controller(name)
+            await users.poll_until("GET", "/healthz", lambda s, b: s == 200, 20.0, node=name)
+            # Jobs sent to any controller run, whichever version leads or owns teams by now.
             job = job_spec(f"j-00001{i}", tasks=40, cpus=0.5, memory_gb=0.1)
-            await submitted(users, job, names[i])
-            await users.eventually(
+            await submit_until_accepted(users, job, names[i])
+            await users.poll_until(
                 "GET",
                 f"/api/jobs/{job.id}",
                 lambda s, b: s == 200 and b["phase"] == "done",
@@ -134,57 +138,63 @@
                 node=names[(i + 1) % 3],
             )
             if i < 2:
-                # Not before all are new: told at once, to be asked again.
+                # Gangs need the new version on all controllers: refused until then, to be retried.
                 status, _ = await users.submit(gang, name)
                 assert status == 503 and int(users.headers["Retry-After"]) >= 1
-        await submitted(users, gang, names[0])
-        await users.done(gang.id, 30.0)
-        await users.done("j-000002", 30.0)
-        # What the service runs on was never stopped by the change.
-        assert {t: m for t, m in world.on.items() if t.startswith("j-000001")} == where
-
-    mixed(test, production)
-
-
-def test_an_old_controller_that_joins_afterwards_gets_no_lead_and_no_teams(production):
-    async def test(world, processes, users):
-        names = list(world.addresses)
+        await submit_until_accepted(users, gang, names[0])
+        await users.wait_until_done(gang.id, 30.0)
+        await users.wait_until_done("j-000002", 30.0)
+        # The upgrade has not stopped or moved any task of the daemon job.
+        assert {
+            t: m for t, m in cluster.running_on.items() if t.startswith("j-000001")
+        } == placement
+
+    run_mixed_cluster_test(test, production_checkout)
+
+
+def test_production_controller_joining_after_upgrade_gets_no_lead_and_no_teams(
+    production_checkout,
+):
+    async def test(cluster, processes, users):
+        names = list(cluster.addresses)
         for name in names:
-            await world.start_controller(name)
+            await cluster.start_controller(name)
 
-        def term():
-            row = world.state.store.rows.get(records.TERM_KEY)
+        def term_record():
+            row = cluster.state_service.store.rows.get(records.TERM_KEY)
             return records.decode_term(row[0]) if row is not None else None
 
-        await until(lambda: term() is not None and term().version > 1)
-        await submitted(users, job_spec("j-000001", kind="group", tasks=2, spot=False), names[0])
-        await world.kill_controller(names[2])
+        await wait_until(lambda: term_record() is not None and term_record().version > 1)
+        await submit_until_accepted(
+            users, job_spec("j-000001", kind="group", tasks=2, spot=False), names[0]
+        )
+        await cluster.kill_controller(names[2])
         processes.start(names[2])
 
-        def shown():
-            row = world.state.store.rows.get(records.NODE_PREFIX + names[2])
+        def presence_version():
+            row = cluster.state_service.store.rows.get(records.NODE_PREFIX + names[2])
             return records.decode_presence(row[0]).version if row is not None else None
 
-        await until(lambda: shown() == 1, 15.0)
-        assert shown() == 1
+        await wait_until(lambda: presence_version() == 1, 15.0)
+        assert presence_version() == 1
         await asyncio.sleep(3.0)
-        assert names[2] not in term().runs and names[2] not in term().owners.values()
-        await users.done("j-000001", 20.0)
-        # Alone it does not lead either, and what it takes is run by those that come back.
-        before = term()
+        assert names[2] not in term_record().runs and names[2] not in term_record().owners.values()
+        await users.wait_until_done("j-000001", 20.0)
+        # It does not lead alone either, and jobs that it accepts run once others come back.
+        record_before = term_record()
         for name in names[:2]:
-            await world.kill_controller(name)
-        await submitted(users, job_spec("j-000002", tasks=2), names[2])
+            await cluster.kill_controller(name)
+        await submit_until_accepted(users, job_spec("j-000002", tasks=2), names[2])
         await asyncio.sleep(4.0)
-        assert term() == before
-        await world.start_controller(names[0])
-        await users.eventually(
+        assert term_record() == record_before
+        await cluster.start_controller(names[0])
+        await users.poll_until(
             "GET",
             "/api/jobs/j-000002",
             lambda s, b: s == 200 and b["phase"] == "done",
             30.0,
             node=names[0],
         )
-        assert term().version > 1 and set(term().owners.values()) == {names[0]}
+        assert term_record().version > 1 and set(term_record().owners.values()) == {names[0]}
 
-    mixed(test, production)
+    run_mixed_cluster_test(test, production_checkout)
