--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""The command as a new user meets it."""
+"""The command line: help, exit codes and error messages."""
 
 import msgspec
 import pytest
@@ -8,15 +8,15 @@
 from tests.test_config import write_settings
 
 
-def test_help_and_version_are_there(capsys):
+def test_help_and_version_exit_with_zero(capsys):
     for arguments in (["--help"], ["submit", "--help"], ["--version"]):
-        with pytest.raises(SystemExit) as stop:
+        with pytest.raises(SystemExit) as error:
             main(arguments)
-        assert stop.value.code == 0
+        assert error.value.code == 0
     assert "mosswalk 0." in capsys.readouterr().out
 
 
-def test_settings_are_checked(tmp_path, capsys):
+def test_check_accepts_valid_settings_and_names_a_missing_file(tmp_path, capsys):
     assert main(["check", "--config", str(write_settings(tmp_path))]) == 0
     assert "good" in capsys.readouterr().out
     assert main(["check", "--config", str(tmp_path / "none.toml")]) == 2
@@ -24,7 +24,7 @@
 
 
 @pytest.mark.parametrize(
-    ("arguments", "code", "told"),
+    ("arguments", "code", "message"),
     [
         (["status", "j-000001", "--server", "127.0.0.1:1"], 3, "127.0.0.1:1"),
         (["status", "412", "--server", "127.0.0.1:1"], 2, "j-000412"),
@@ -32,12 +32,12 @@
         (["submit", "none.json", "--server", "127.0.0.1:1"], 2, "none.json"),
     ],
 )
-def test_what_goes_wrong_is_told_with_its_exit_code(arguments, code, told, capsys):
+def test_failed_command_has_its_exit_code_and_message(arguments, code, message, capsys):
     assert main(arguments) == code
-    assert told in capsys.readouterr().err
+    assert message in capsys.readouterr().err
 
 
-def test_a_bad_description_is_told_before_anything_is_sent(tmp_path, capsys):
+def test_submit_rejects_an_invalid_job_file_without_a_request(tmp_path, capsys):
     path = tmp_path / "job.json"
     path.write_bytes(msgspec.json.encode(job_spec(tasks=1)).replace(b'"cores":1.0', b'"cores":"x"'))
     assert main(["submit", str(path), "--server", "127.0.0.1:1"]) == 2
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,9 +1,11 @@
+"""Reading the settings: the platform's TOML file and the operators' HCL file."""
+
 import pytest
 
 from mosswalk.cli.serve import main
 from mosswalk.config import SettingsError, load
 
-TOML = """
+SETTINGS_TOML = """
 host_name = "moss-0"
 zone = "a"
 serve_on = "10.0.0.1:8080"
@@ -37,7 +39,7 @@
 """
 
 
-def write_settings(tmp_path, toml=TOML, hcl=None):
+def write_settings(tmp_path, toml=SETTINGS_TOML, hcl=None):
     path = tmp_path / "node.toml"
     path.write_text(toml)
     if hcl is not None:
@@ -45,18 +47,18 @@
     return path
 
 
-def test_the_platforms_file_is_read_and_unknown_fields_are_ignored(tmp_path):
+def test_settings_file_is_read_and_unknown_fields_are_ignored(tmp_path):
     settings = load(write_settings(tmp_path))
     assert settings.params.teams[0].cpus == 4.0
     assert settings.tuning.factory.period_s > 0
 
 
-def test_the_operators_file_changes_what_it_names_and_nothing_else(tmp_path):
+def test_operator_file_overrides_only_the_fields_it_names(tmp_path):
     hcl = 'factory {\n  load_high = 2\n  unheard_of = 1\n}\nteam "red" {\n  share = 2.5\n}\n'
-    plain = load(write_settings(tmp_path)).tuning
+    default = load(write_settings(tmp_path)).tuning
     tuned = load(write_settings(tmp_path, hcl=hcl)).tuning
     assert tuned.factory.load_high == 2 and tuned.shares == {"red": 2.5}
-    assert tuned.factory.period_s == plain.factory.period_s
+    assert tuned.factory.period_s == default.factory.period_s
 
 
 @pytest.mark.parametrize(
@@ -71,11 +73,13 @@
         ("[outside]", "[outside", "not TOML"),
     ],
 )
-def test_bad_settings_end_with_one_line_naming_file_and_field(tmp_path, capsys, old, new, field):
-    path = write_settings(tmp_path, TOML.replace(old, new, 1))
+def test_invalid_settings_are_reported_in_one_line_with_file_and_field(
+    tmp_path, capsys, old, new, field
+):
+    path = write_settings(tmp_path, SETTINGS_TOML.replace(old, new, 1))
     assert main(["--config", str(path)]) == 2
-    told = capsys.readouterr().err.strip()
-    assert "\n" not in told and str(path) in told and field in told
+    message = capsys.readouterr().err.strip()
+    assert "\n" not in message and str(path) in message and field in message
 
 
 @pytest.mark.parametrize(
@@ -88,12 +92,12 @@
         ("leadership {\n ttl_s = 0.1\n}\n", "leadership"),
     ],
 )
-def test_bad_operator_settings_name_file_and_field(tmp_path, hcl, field):
+def test_invalid_operator_settings_are_reported_with_file_and_field(tmp_path, hcl, field):
     with pytest.raises(SettingsError, match=field) as error:
         load(write_settings(tmp_path, hcl=hcl))
     assert "node.hcl" in str(error.value)
 
 
-def test_a_missing_file_is_told(tmp_path):
+def test_missing_settings_file_is_reported(tmp_path):
     with pytest.raises(SettingsError, match=r"none\.toml: No such file"):
         load(tmp_path / "none.toml")
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -1,4 +1,4 @@
-"""A leader of many machines stays within its sockets, and users find some left."""
+"""The leader of many machines stays within its socket budget and leaves sockets for users."""
 
 import asyncio
 
@@ -12,18 +12,18 @@
 
 
 @given(st.integers(200, 5000))
-def test_what_is_shared_out_leaves_sockets_for_users(most):
-    budget = socket_budget(most)
-    assert budget.calls + budget.commands + budget.workers <= most * 0.96
+def test_socket_budget_leaves_sockets_for_users(max_connections):
+    budget = socket_budget(max_connections)
+    assert budget.calls + budget.commands + budget.workers <= max_connections * 0.96
 
 
-def test_connections_for_orders_are_closed_as_the_fleet_grows():
-    """Two sockets a machine, as it was, are 1800 at 900 machines, of 1551 that there are."""
+def test_fewer_command_connections_stay_open_as_the_fleet_grows():
+    """With two sockets per machine, as once used, 900 machines took 1800 of the 1551 sockets."""
 
     async def run():
         inventory = Inventory()
         budget = socket_budget(1551)
-        pushes = CommandSender(
+        sender = CommandSender(
             inventory,
             None,
             None,
@@ -38,11 +38,11 @@
             for i in range(count):
                 name = f"vm-{i:06d}"
                 inventory.machines.setdefault(name, Machine(name, "small", "a", False, "up", 0, 0))
-            kept = sum(pushes._may_keep_alive(name) for name in inventory.machines)
-            assert kept == min(count, max(0, budget.workers - count))
+            open_count = sum(sender._may_keep_alive(name) for name in inventory.machines)
+            assert open_count == min(count, max(0, budget.workers - count))
         for name in list(inventory.machines)[200:]:
             inventory.remove(name, 0)
-            pushes.remove_machine(name)
-        assert all(pushes._may_keep_alive(name) for name in inventory.machines)
+            sender.remove_machine(name)
+        assert all(sender._may_keep_alive(name) for name in inventory.machines)
 
     asyncio.run(run())
--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -1,4 +1,4 @@
-"""What a start costs: on a tenth of a core each import is waited for, after every restart."""
+"""Start-up cost: with a tenth of a core, each import delays every restart noticeably."""
 
 import importlib.util
 import json
@@ -12,7 +12,7 @@
 import pytest
 
 ROOT = Path(__file__).resolve().parent.parent
-# What serving needs, and what aiohttp brings with it.
+# Libraries that serving needs, with the dependencies of aiohttp.
 LIBRARIES = {
     "aiohappyeyeballs",
     "aiohttp",
@@ -28,34 +28,35 @@
     "uvloop",
     "yarl",
 }
-# Bits of a byte code file's header: checked by a hash of the source, and not at every import.
-HASHED, CHECKED = 0b01, 0b10
+# Flags in the header of a byte code file (PEP 552): it carries a hash of the source instead of its
+# time, and the hash is compared with the source on every import.
+HASH_BASED, CHECK_SOURCE = 0b01, 0b10
 
 
-def printed_by(script, directory):
-    """What a script for a fresh interpreter prints."""
+def run_script(script, directory):
+    """Run a script in a fresh interpreter and return its output."""
     command = [sys.executable, "-c", script]
-    done = subprocess.run(command, cwd=directory, check=True, capture_output=True, text=True)
-    return done.stdout
+    result = subprocess.run(command, cwd=directory, check=True, capture_output=True, text=True)
+    return result.stdout
 
 
-def test_serving_imports_no_library_that_it_does_not_need():
+def test_serving_imports_only_the_libraries_it_needs():
     script = (
         "import json, sys; before = set(sys.modules);"
         "import mosswalk.cli.serve, mosswalk.service, uvloop;"
         "print(json.dumps(sorted(set(sys.modules) - before)))"
     )
-    loaded = json.loads(printed_by(script, ROOT))
+    loaded = json.loads(run_script(script, ROOT))
     packages = {name.partition(".")[0] for name in loaded if "cython" not in name}
     assert packages - LIBRARIES - set(sys.stdlib_module_names) == {"mosswalk"}
-    # Users' commands, and the libraries of what only some controllers are asked for.
+    # The users' commands, and libraries that only some controllers need.
     assert not {"mosswalk.cli.client", "hcl2", "prometheus_client"} & set(loaded)
     assert not [name for name in loaded if name.startswith("mosswalk.detection")]
 
 
 @pytest.fixture
 def checkout(tmp_path):
-    """A clean checkout whose libraries are there already."""
+    """A clean checkout whose libraries count as installed already."""
     for name in ("mosswalk", "deploy"):
         ignored = shutil.ignore_patterns("__pycache__")
         shutil.copytree(ROOT / name, tmp_path / name, ignore=ignored)
@@ -71,13 +72,13 @@
     subprocess.run(["sh", "-c", deploy["build"]], cwd=checkout, check=True)
 
 
-def start(checkout):
-    """The exit code of a start that only tells the version."""
+def start_exit_code(checkout):
+    """Return the exit code of a start that only prints the version."""
     command = [sys.executable, "run.py", "--version"]
     return subprocess.run(command, cwd=checkout, capture_output=True).returncode
 
 
-def test_the_build_makes_byte_code_that_no_start_has_to_check_or_make(checkout):
+def test_build_compiles_unchecked_byte_code_for_every_source(checkout):
     before = {path for path in checkout.rglob("*") if "target" not in path.parts}
     build(checkout)
     assert {path for path in checkout.rglob("*") if "target" not in path.parts} == before
@@ -85,19 +86,19 @@
     assert len(sources) == len(list((checkout / "mosswalk").rglob("*.py")))
     for source in sources:
         header = Path(importlib.util.cache_from_source(str(source))).read_bytes()[:8]
-        assert int.from_bytes(header[4:8], "little") & (HASHED | CHECKED) == HASHED
+        assert int.from_bytes(header[4:8], "little") & (HASH_BASED | CHECK_SOURCE) == HASH_BASED
 
 
-def test_what_was_built_is_what_starts_until_it_is_built_anew(checkout):
-    assert start(checkout) == 0
+def test_started_code_is_the_built_copy_until_the_next_build(checkout):
+    assert start_exit_code(checkout) == 0
     build(checkout)
     with (checkout / "mosswalk" / "__init__.py").open("a") as source:
         source.write("raise SystemExit(9)\n")
-    assert start(checkout) == 0
+    assert start_exit_code(checkout) == 0
     build(checkout)
-    assert start(checkout) == 9
+    assert start_exit_code(checkout) == 9
 
 
-def test_no_certificates_are_read_for_a_service_without_tls(checkout):
+def test_start_without_tls_reads_no_certificates(checkout):
     script = "import os, runpy; runpy.run_path('run.py'); print(os.environ['SSL_CERT_FILE'])"
-    assert printed_by(script, checkout).strip() == os.devnull
+    assert run_script(script, checkout).strip() == os.devnull
