--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -23,7 +23,7 @@
 
 
 class FakeClock:
-    """A clock whose time only tests advance."""
+    """A clock that moves only when a test advances it."""
 
     def __init__(self) -> None:
         self.us = 1_000_000
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -66,7 +66,7 @@
             await cluster.start(stack)
             users = UserClient(cluster)
             await users.poll_until("GET", "/healthz", lambda s, b: s == 200)
-            # Submissions are refused otherwise until the machine types are known.
+            # The answer is 503 until the machine types are known, and 422 for a bad job after that.
             await users.poll_until(
                 "POST",
                 "/api/jobs",
