--- a/tests/test_factory.py
+++ b/tests/test_factory.py
@@ -21,7 +21,7 @@
 from mosswalk.jobs.state import Job, new_record
 from mosswalk.placement.capacity import FreeCapacity, ZoneRule
 from tests.fakes import job_spec, machine_type
-from tests.test_placement import job as placed
+from tests.test_placement import make_job
 
 S = 1_000_000
 figures = st.builds(
@@ -287,7 +287,7 @@
 
 
 def replicas(job_id, machines, **changes):
-    made = placed(job_id, live=machines, kind="daemon", spot=False, **changes)
+    made = make_job(job_id, live=machines, kind="daemon", spot=False, **changes)
     return [(made, attempt) for attempt in made.live_attempts()]
 
 
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -28,8 +28,8 @@
 from mosswalk.store.writer import Change
 from mosswalk.wire.workers import Command, Report, TaskReport
 from tests.fakes import RECORD_LIMITS, FakeClock, job_spec, machine_type
-from tests.test_jobs import MirrorOf
-from tests.test_offers import made, submit
+from tests.test_jobs import InMemoryMirror
+from tests.test_offers import make_fleet, submit
 
 TASKS = 9
 OPS = 3
@@ -44,8 +44,8 @@
 
     def __init__(self):
         super().__init__()
-        self.mirror = MirrorOf()
-        self.mirror.ops = OPS
+        self.mirror = InMemoryMirror()
+        self.mirror.max_ops = OPS
         self.registry = JobRegistry(self.mirror)
         self.key = records.job_key(GANG_JOB.id)
         record = new_record(GANG_JOB, 5, CHUNK)
@@ -279,8 +279,8 @@
 
 def _owner(tmp_path, tasks):
     """An owner with a gang, two records of two tasks and what they need around them."""
-    _, mirror, registry, inventory, clock, settings = made(tmp_path, 4)
-    mirror.ops = OPS
+    _, mirror, registry, inventory, clock, settings = make_fleet(tmp_path, 4)
+    mirror.max_ops = OPS
     job = job_spec(kind="group", tasks=tasks)
     key = records.job_key(job.id)
     mirror.commit(Change({key: 0}, {key: Raw(records.encode(new_record(job, 5, CHUNK)))}))
@@ -340,7 +340,7 @@
 
 
 def test_a_notice_saves_the_whole_gang_or_none_of_it(tmp_path):
-    _, mirror, registry, _, clock, settings = made(tmp_path, 3)
+    _, mirror, registry, _, clock, settings = make_fleet(tmp_path, 3)
     inventory = Inventory()
     for i in range(3):
         inventory.machines[f"vm-{i}"] = Machine(
--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -1,4 +1,4 @@
-"""The job's state machine under any order of placings, outcomes, repeats and a withdrawal."""
+"""The state machine of a job under any order of placements, outcomes, repeats and a withdrawal."""
 
 from hypothesis import settings
 from hypothesis import strategies as st
@@ -15,18 +15,18 @@
 from tests.fakes import RECORD_LIMITS, job_spec, machine_type
 
 TASKS = 30
-OPS = 5
-FEW_OPS = RecordLimits(16 * 1024, OPS)
+MAX_OPS = 5
+SMALL_COMMIT_LIMITS = RecordLimits(16 * 1024, MAX_OPS)
 
 
-class MirrorOf:
-    """Applies changes as the state service would, and feeds a registry."""
+class InMemoryMirror:
+    """Applies changes as the state service would, and passes them to the listeners."""
 
     def __init__(self) -> None:
         self.listeners = []
         self.rows = {}
         self.revision = 0
-        self.ops = OPS
+        self.max_ops = MAX_OPS
 
     def listen(self, prefix, listener):
         self.listeners.append((prefix, listener))
@@ -34,7 +34,7 @@
     def commit(self, change):
         for key, version in change.guards.items():
             assert self.rows.get(key, (None, 0))[1] == version
-        assert change.write_count() <= self.ops
+        assert change.write_count() <= self.max_ops
         self.revision += 1
         for key, value in [*change.puts.items(), *((k, None) for k in change.deletes)]:
             if value is None:
@@ -46,18 +46,20 @@
                     listener(key, None if value is None else bytes(value), self.revision)
 
 
-class JobMachine(RuleBasedStateMachine):
+class JobStateMachine(RuleBasedStateMachine):
+    """Commits placements, outcomes and a withdrawal of one job; compares the records to a model."""
+
     def __init__(self):
         super().__init__()
-        self.mirror = MirrorOf()
+        self.mirror = InMemoryMirror()
         self.registry = JobRegistry(self.mirror)
         record = new_record(job_spec(tasks=TASKS), 5, chunk_size=7)
         self.key = records.job_key("j-000001")
         self.mirror.commit(Change({self.key: 0}, {self.key: Raw(records.encode(record))}))
         self.live = {}
-        self.old = []
+        self.ended = []
         self.done = set()
-        self.numbers = set()
+        self.attempt_numbers = set()
         self.withdrawn = False
 
     @property
@@ -69,39 +71,41 @@
             self.mirror.commit(draft.to_change({}))
 
     @precondition(lambda self: self.job)
-    @rule(picks=st.lists(st.integers(-1, TASKS), max_size=8), machine=st.sampled_from("pqr"))
-    def place(self, picks, machine):
-        draft = Draft(self.job, FEW_OPS)
-        for index in picks:
+    @rule(indexes=st.lists(st.integers(-1, TASKS), max_size=8), machine=st.sampled_from("pqr"))
+    def place(self, indexes, machine):
+        draft = Draft(self.job, SMALL_COMMIT_LIMITS)
+        for index in indexes:
             attempt = draft.place(Assignment(index, machine, 1), 3)
             free = 0 <= index < TASKS and index not in self.live and index not in self.done
             if attempt is not None:
                 assert free and not self.withdrawn
-                assert attempt.number not in self.numbers
-                self.numbers.add(attempt.number)
+                assert attempt.number not in self.attempt_numbers
+                self.attempt_numbers.add(attempt.number)
                 self.live[index] = attempt
         self.commit(draft)
 
     @precondition(lambda self: self.job and self.live)
     @rule(data=st.data(), kind=st.sampled_from(["done", "error", "lost", "stopped"]))
-    def settle(self, data, kind):
+    def end_attempt(self, data, kind):
         index = data.draw(st.sampled_from(sorted(self.live)))
         attempt = self.live[index]
-        draft = Draft(self.job, FEW_OPS)
+        draft = Draft(self.job, SMALL_COMMIT_LIMITS)
         assert draft.record_outcome(index, attempt.number, kind)
-        # The same message again, as the leader repeats it, changes nothing.
+        # The leader may repeat an outcome; the repetition changes nothing.
         assert not draft.record_outcome(index, attempt.number, "done")
         self.commit(draft)
         del self.live[index]
-        self.old.append(attempt)
+        self.ended.append(attempt)
         if kind == "done":
             self.done.add(index)
 
-    @precondition(lambda self: self.job and self.old)
+    @precondition(lambda self: self.job and self.ended)
     @rule(data=st.data())
     def late_outcome(self, data):
-        attempt = data.draw(st.sampled_from(self.old))
-        assert not Draft(self.job, FEW_OPS).record_outcome(attempt.task, attempt.number, "done")
+        attempt = data.draw(st.sampled_from(self.ended))
+        assert not Draft(self.job, SMALL_COMMIT_LIMITS).record_outcome(
+            attempt.task, attempt.number, "done"
+        )
 
     @precondition(lambda self: self.job and not self.withdrawn)
     @rule(chance=st.integers(0, 9))
@@ -112,11 +116,11 @@
 
     @precondition(lambda self: self.job is None)
     @rule()
-    def stay_over(self):
-        """Nothing more can happen to a job that is over; the invariant still holds."""
+    def stay_final(self):
+        """No other rule applies to a job that is over; the invariant must still hold."""
 
     @invariant()
-    def records_agree(self):
+    def records_match_model(self):
         job = self.job
         if job is None:
             final = records.decode_final(self.mirror.rows[records.final_key("j-000001")][0])
@@ -131,29 +135,29 @@
         assert live == self.live
         assert job.record.live_count == len(live) and job.record.done_count == len(self.done)
         assert set(job.pending_tasks()) == set(range(TASKS)) - set(live) - self.done
-        # What plans read instead of walking all jobs.
+        # The indexes that planning reads instead of iterating over all jobs.
         registry = self.registry
         pending = job.open and job.pending_count() > 0
         assert list(registry.unplaced["red"]) == (["j-000001"] if pending else [])
         assert list(registry.withdrawn) == ([] if job.open else ["j-000001"])
         assert registry.usage()["red"].cpus == len(live) * job.cpus
-        on_machines = sum(len(there) for there in self.registry.attempts_by_machine.values())
+        on_machines = sum(len(attempts) for attempts in self.registry.attempts_by_machine.values())
         assert on_machines == len(live)
-        # A controller that has just started reads all keys in order, chunks before headers.
-        anew = MirrorOf()
-        registry = JobRegistry(anew)
+        # A controller that has just started reads the keys in sorted order: chunks before headers.
+        fresh_mirror = InMemoryMirror()
+        fresh_registry = JobRegistry(fresh_mirror)
         for key, (value, version) in sorted(self.mirror.rows.items()):
-            for prefix, listener in anew.listeners:
+            for prefix, listener in fresh_mirror.listeners:
                 if key.startswith(prefix):
                     listener(key, value, version)
-        assert registry.attempts_by_machine == self.registry.attempts_by_machine
+        assert fresh_registry.attempts_by_machine == self.registry.attempts_by_machine
 
 
-JobMachine.TestCase.settings = settings(max_examples=60, stateful_step_count=40)
-TestJobMachine = JobMachine.TestCase
+JobStateMachine.TestCase.settings = settings(max_examples=60, stateful_step_count=40)
+TestJobStateMachine = JobStateMachine.TestCase
 
 
-def test_a_job_of_100000_tasks_fits_its_records():
+def test_records_of_a_job_of_100000_tasks_fit_the_limits():
     size = records.chunk_size(RECORD_LIMITS, job_spec(tasks=100_000))
     job = Job(new_record(job_spec(tasks=100_000), 1 << 52, size), 1)
     draft = Draft(job, RECORD_LIMITS)
@@ -164,7 +168,7 @@
     assert max(len(bytes(v)) for v in change.puts.values()) <= 16 * 1024
 
 
-def test_a_replica_that_ends_is_started_again():
+def test_completed_replica_of_a_daemon_is_placed_again():
     job = Job(new_record(job_spec(kind="daemon", tasks=1), 0, 8), 1)
     draft = Draft(job, RECORD_LIMITS)
     attempt = draft.place(Assignment(0, "vm-1", 1), 1)
@@ -173,15 +177,22 @@
     assert draft.place(Assignment(0, "vm-2", 1), 1).number != attempt.number
 
 
-def test_what_can_never_run_is_told_from_what_can():
+def test_only_jobs_that_can_never_run_are_rejected():
     types = (machine_type("small"), machine_type("big", cpus=16.0, zones=("b",)))
     teams = {"red": Team("red", cpus_max=8.0)}
 
-    def judge(**changes):
+    def rejection(**changes):
         return rejection_reason(job_spec(**changes), types, teams)
 
-    assert judge() is None and judge(tasks=100_000) is None
-    assert judge(team="blue") and judge(cpus=9.0) and judge(gpus=1.0) and judge(zone="c")
-    assert judge(cpus=5.0) is None and judge(cpus=5.0, zone="a")
-    assert judge(types=("small",), cpus=5.0) and judge(types=("none",)) and judge(types=())
-    assert judge(kind="daemon", tasks=8) is None and judge(kind="daemon", tasks=9)
+    assert rejection() is None and rejection(tasks=100_000) is None
+    assert (
+        rejection(team="blue")
+        and rejection(cpus=9.0)
+        and rejection(gpus=1.0)
+        and rejection(zone="c")
+    )
+    assert rejection(cpus=5.0) is None and rejection(cpus=5.0, zone="a")
+    assert (
+        rejection(types=("small",), cpus=5.0) and rejection(types=("none",)) and rejection(types=())
+    )
+    assert rejection(kind="daemon", tasks=8) is None and rejection(kind="daemon", tasks=9)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -21,7 +21,7 @@
 from mosswalk.store.writer import Change, GroupWriter
 from tests.fakes import RECORD_LIMITS, FakeClock, InMemoryStore, job_spec
 from tests.production import records as production
-from tests.test_jobs import MirrorOf
+from tests.test_jobs import InMemoryMirror
 
 S = 1_000_000
 LOWERED = RecordLimits(2048, 5)
@@ -39,7 +39,7 @@
 @given(st.integers(1, 700), st.data())
 def test_a_job_is_split_into_records_that_fit_whatever_of_it_runs(tasks, data):
     """Written for 256 tasks a record; split between any two of its commits, or left half split."""
-    mirror = MirrorOf()
+    mirror = InMemoryMirror()
     registry = JobRegistry(mirror)
     record = new_record(job_spec(tasks=tasks), 1 << 50, 256)
     key = records.job_key("j-000001")
@@ -47,7 +47,7 @@
     draft = Draft(registry.jobs["j-000001"], RECORD_LIMITS)
     for index in range(tasks):
         draft.place(Assignment(index, f"vm-{index // 8:06d}", 1), 12)
-    mirror.ops = 16
+    mirror.max_ops = 16
     mirror.commit(draft.to_change({}))
     draft = Draft(registry.jobs["j-000001"], RECORD_LIMITS)
     for index in sorted(data.draw(st.sets(st.integers(0, tasks - 1), max_size=60))):
@@ -65,7 +65,7 @@
     if not needs_split(job, LOWERED):
         assert tasks <= 32
         return
-    mirror.ops = LOWERED.txn_ops
+    mirror.max_ops = LOWERED.txn_ops
     changes = split_records(job, LOWERED).changes({key: job.version}, LOWERED.txn_ops)
     stop = data.draw(st.integers(0, len(changes)))
     for change in changes[:stop]:
@@ -73,7 +73,7 @@
         assert max(len(bytes(v)) for v in change.puts.values()) <= LOWERED.value_bytes
     if stop < len(changes):
         # Interrupted, and tasks end: nothing of the first try counts in the next one.
-        mirror.ops = 16
+        mirror.max_ops = 16
         ended = data.draw(st.booleans())
         if ended:
             draft = Draft(job, RECORD_LIMITS)
@@ -90,7 +90,7 @@
         )
         assert ended or now == before
         before = now
-        mirror.ops = LOWERED.txn_ops
+        mirror.max_ops = LOWERED.txn_ops
         for change in split_records(job, LOWERED).changes({key: job.version}, LOWERED.txn_ops):
             mirror.commit(change)
     job = registry.jobs["j-000001"]
@@ -104,7 +104,7 @@
     with pytest.raises(msgspec.ValidationError):
         production.decode(production.JobRecord, mirror.rows[key][0])
     # A controller that reads all of it anew sees the same.
-    other = MirrorOf()
+    other = InMemoryMirror()
     again = JobRegistry(other)
     for row in sorted(mirror.rows):
         for prefix, listener in other.listeners:
--- a/tests/test_offers.py
+++ b/tests/test_offers.py
@@ -22,26 +22,26 @@
 from mosswalk.wire.workers import TaskReport
 from tests.fakes import RECORD_LIMITS, FakeClock, job_spec, machine_type
 from tests.test_config import write_settings
-from tests.test_jobs import MirrorOf
-from tests.test_placement import job as placed
+from tests.test_jobs import InMemoryMirror
+from tests.test_placement import make_job
 
 S = 1_000_000
 
 
-class Counted(OfferPlanner):
-    builds = 0
+class CountingOfferPlanner(OfferPlanner):
+    build_count = 0
 
     def _build(self, machine):
-        self.builds += 1
+        self.build_count += 1
         return super()._build(machine)
 
 
-def made(tmp_path, machines):
+def make_fleet(tmp_path, machines):
     settings = load(write_settings(tmp_path))
     settings = structs.replace(
         settings, params=structs.replace(settings.params, teams=(Team("red"),))
     )
-    mirror, inventory, clock = MirrorOf(), Inventory(), FakeClock()
+    mirror, inventory, clock = InMemoryMirror(), Inventory(), FakeClock()
     registry = JobRegistry(mirror)
     inventory.types = {"small": machine_type()}
     for i in range(machines):
@@ -65,7 +65,9 @@
     renting = SimpleNamespace(
         cordoned=set(), record_blocked_jobs=lambda queues: None, clear_blocked_jobs=lambda: None
     )
-    offers = Counted(settings, mirror, registry, inventory, leadership, renting, clock, {})
+    offers = CountingOfferPlanner(
+        settings, mirror, registry, inventory, leadership, renting, clock, {}
+    )
     return offers, mirror, registry, inventory, clock, settings
 
 
@@ -76,7 +78,7 @@
     return key
 
 
-def place(mirror, registry, count, machine):
+def place_tasks(mirror, registry, count, machine):
     draft = Draft(next(iter(registry.jobs.values())), RECORD_LIMITS)
     for index in range(count):
         draft.place(Assignment(index, machine, 1), 1)
@@ -84,24 +86,24 @@
 
 
 def test_a_plan_builds_only_the_room_of_machines_of_which_something_changed(tmp_path):
-    offers, mirror, registry, _, clock, _ = made(tmp_path, 300)
+    offers, mirror, registry, _, clock, _ = make_fleet(tmp_path, 300)
     offers.mark_periodic_changes()
     offers.plan()
     # Nothing to place: no machine is looked at.
-    assert offers.builds == 0
+    assert offers.build_count == 0
     offers.free_capacities()
-    assert offers.builds == 300
+    assert offers.build_count == 300
     offers.mark_periodic_changes()
     offers.plan()
-    assert offers.builds == 300
+    assert offers.build_count == 300
     offers.mark_changed("vm-0007")
     submit(mirror, tasks=1)
     ((node, offer),) = offers.plan()
-    assert node == "a" and len(offer.teams[0].machines) == 1 and offers.builds == 301
-    place(mirror, registry, 1, offer.teams[0].machines[0].machine)
+    assert node == "a" and len(offer.teams[0].machines) == 1 and offers.build_count == 301
+    place_tasks(mirror, registry, 1, offer.teams[0].machines[0].machine)
     submit(mirror, id="j-000002", tasks=1)
     offers.plan()
-    assert offers.builds == 302
+    assert offers.build_count == 302
     # Silence takes room away by time alone.
     clock.us += 60 * S
     offers.mark_periodic_changes()
@@ -116,9 +118,9 @@
 def test_room_is_free_once_the_exit_is_reported_and_only_on_machines_that_hear(
     tmp_path_factory, phase, hears, deaf
 ):
-    offers, mirror, registry, inventory, _, _ = made(tmp_path_factory.mktemp("offers"), 1)
+    offers, mirror, registry, inventory, _, _ = make_fleet(tmp_path_factory.mktemp("offers"), 1)
     submit(mirror, tasks=2, cpus=3.0)
-    place(mirror, registry, 1, "vm-0000")
+    place_tasks(mirror, registry, 1, "vm-0000")
     machine = inventory.machines["vm-0000"]
     machine.has_acknowledged_leader, machine.not_receiving_since_us = hears, 5 if deaf else None
     if phase is not None:
@@ -131,9 +133,9 @@
 
 
 def test_completed_tasks_are_gathered_while_writes_are_scarce_but_never_the_last_one(tmp_path):
-    _, mirror, registry, _, clock, settings = made(tmp_path, 1)
+    _, mirror, registry, _, clock, settings = make_fleet(tmp_path, 1)
     submit(mirror, tasks=4)
-    place(mirror, registry, 3, "vm-0000")
+    place_tasks(mirror, registry, 3, "vm-0000")
     ample = False
     writer = SimpleNamespace(has_spare_rate=lambda: ample, set_rate_share=lambda part: None)
     leadership = SimpleNamespace(owns=lambda team: True, gangs_allowed=lambda: False)
@@ -165,7 +167,7 @@
 
 def test_a_round_takes_what_can_be_written_in_a_moment_and_the_most_urgent_first(tmp_path):
     """A cut healed, 170 services and as many arrays had lost tasks: one round of 8 s for all."""
-    _, mirror, registry, _, clock, settings = made(tmp_path, 1)
+    _, mirror, registry, _, clock, settings = make_fleet(tmp_path, 1)
     for i in range(40):
         priority = "prod" if i % 10 == 9 else "idle" if i % 2 else "standard"
         submit(mirror, id=f"j-{i:06d}", tasks=2, priority=priority)
@@ -202,10 +204,10 @@
 
 
 def test_an_exit_that_is_reported_is_no_victim_and_frees_its_room_once(tmp_path):
-    offers, mirror, registry, inventory, clock, settings = made(tmp_path, 1)
+    offers, mirror, registry, inventory, clock, settings = make_fleet(tmp_path, 1)
     submit(mirror, tasks=4, cpus=1.0, priority="idle")
-    place(mirror, registry, 4, "vm-0000")
-    waits = WaitingTasks(placed("j-000009", tasks=3, priority="prod"), 3, ZoneRule(False, 3))
+    place_tasks(mirror, registry, 4, "vm-0000")
+    waits = WaitingTasks(make_job("j-000009", tasks=3, priority="prod"), 3, ZoneRule(False, 3))
     preempting = Preemptor(settings, inventory, registry, offers, clock)
     exits = (TaskReport(f"j-000001/{i}", i + 1, "exited", "stopped") for i in range(2))
     inventory.machines["vm-0000"].update_tasks(tuple(exits))
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -10,7 +10,7 @@
 from tests.fakes import RECORD_LIMITS, job_spec
 
 
-def job(job_id="j-1", at_us=0, live=(), **changes):
+def make_job(job_id="j-1", at_us=0, live=(), **changes):
     made = Job(new_record(job_spec(job_id, **changes), at_us, 256), 1)
     draft = Draft(made, RECORD_LIMITS)
     for index, machine in enumerate(live):
@@ -49,7 +49,7 @@
 )
 def test_no_placing_breaks_a_limit_a_zone_rule_or_a_machine(jobs, rooms, limit, used):
     made = [
-        job(f"j-{i}", tasks=n, cpus=c, one_zone=one, spread=spread and not one, spot=spot)
+        make_job(f"j-{i}", tasks=n, cpus=c, one_zone=one, spread=spread and not one, spot=spot)
         for i, (n, c, one, spread, spot) in enumerate(jobs)
     ]
     places = [room(f"vm-{i}", c * 1000, z, s) for i, (c, z, s) in enumerate(rooms)]
@@ -75,7 +75,7 @@
 
 
 def test_live_attempts_count_for_zone_rules_and_an_unknown_zone_blocks():
-    split = job(tasks=3, spread=True, live=["vm-8", "vm-9"])
+    split = make_job(tasks=3, spread=True, live=["vm-8", "vm-9"])
     zones = {"vm-8": "a", "vm-9": "a"}
     assert queue(Team("red"), [split], zones=zones).place_next([room(zone="a")]) is None
     placing = queue(Team("red"), [split], zones=zones).place_next([room(zone="b")])
@@ -86,11 +86,11 @@
 
 def test_the_queue_serves_priority_then_deadline_then_arrival():
     jobs = [
-        job("j-1", 5, tasks=1),
-        job("j-2", 9, tasks=1, deadline_s=40.0),
-        job("j-3", 1, tasks=1),
-        job("j-4", 99, tasks=1, priority="prod"),
-        job("j-5", 0, tasks=1, priority="idle"),
+        make_job("j-1", 5, tasks=1),
+        make_job("j-2", 9, tasks=1, deadline_s=40.0),
+        make_job("j-3", 1, tasks=1),
+        make_job("j-4", 99, tasks=1, priority="prod"),
+        make_job("j-5", 0, tasks=1, priority="idle"),
     ]
     turn = queue(Team("red"), jobs)
     places = [room(cpus=9000)]
@@ -105,22 +105,22 @@
         room("vm-3", core_price=0.06, fetch_s_per_gb=5.0, spot=True),
     ]
     places[2].core_price = 0.055
-    assert queue(Team("red"), [job(tasks=1)]).place_next(places).capacity.machine == "vm-2"
-    assert queue(Team("red"), [job(tasks=1)]).place_next([places[0], places[2]]).capacity.spot
-    replica = job(tasks=1, kind="daemon", priority="prod", spot=False)
+    assert queue(Team("red"), [make_job(tasks=1)]).place_next(places).capacity.machine == "vm-2"
+    assert queue(Team("red"), [make_job(tasks=1)]).place_next([places[0], places[2]]).capacity.spot
+    replica = make_job(tasks=1, kind="daemon", priority="prod", spot=False)
     assert queue(Team("red"), [replica]).place_next(places).capacity.machine == "vm-2"
     places[1].core_price = 0.08
     places[0].images, places[0].replica_cpus = places[1].images, places[1].replica_cpus
     assert queue(Team("red"), [replica]).place_next(places).capacity.machine == "vm-1"
     avoiding = TeamQueue(
-        Team("red"), [job(tasks=1)], Usage(), {}, {"j-1": {"vm-1"}}, {}, URGENCY, 0
+        Team("red"), [make_job(tasks=1)], Usage(), {}, {"j-1": {"vm-1"}}, {}, URGENCY, 0
     )
     assert avoiding.place_next([room("vm-1")]) is None
 
 
 def test_teams_are_served_by_guarantee_and_then_by_shares():
     teams = [Team("red", cpus=2.0), Team("blue"), Team("green")]
-    queues = [queue(t, [job(f"j-{i}", tasks=50, team=t.name)]) for i, t in enumerate(teams)]
+    queues = [queue(t, [make_job(f"j-{i}", tasks=50, team=t.name)]) for i, t in enumerate(teams)]
     shares = {"red": 1.0, "blue": 1.0, "green": 3.0}
     order = [p.job.spec.team for p in place_across_teams(queues, [room(cpus=14_000)], shares)]
     assert order[:2] == ["red", "red"]
@@ -132,22 +132,22 @@
 
 
 def test_preemption_takes_the_least_urgent_and_no_more_than_needed():
-    idle = job("j-7", tasks=2, priority="idle", live=["vm-1", "vm-1"])
-    normal = job("j-8", tasks=2, live=["vm-1", "vm-1"])
-    urgent = job("j-9", tasks=1, priority="prod")
+    idle = make_job("j-7", tasks=2, priority="idle", live=["vm-1", "vm-1"])
+    normal = make_job("j-8", tasks=2, live=["vm-1", "vm-1"])
+    urgent = make_job("j-9", tasks=1, priority="prod")
     teams = {"red": Team("red")}
     got = choose_victims([(urgent, 1)], [room(cpus=0)], victims(normal, idle), teams, {}, {}, 9)
     assert [v.job.id for v in got] == ["j-7"]
     # Work of the same priority stays, and so does everything when there is room anyway.
-    same = job("j-6", tasks=1)
+    same = make_job("j-6", tasks=1)
     assert choose_victims([(same, 1)], [room(cpus=0)], victims(normal), teams, {}, {}, 9) == []
     assert choose_victims([(urgent, 1)], [room()], victims(idle), teams, {}, {}, 9) == []
 
 
 def test_a_guarantee_is_made_good_from_another_teams_surplus_only():
     teams = {"red": Team("red", cpus=4.0), "blue": Team("blue", cpus=1.0)}
-    surplus = job("j-7", tasks=3, team="blue", live=["vm-1"] * 3)
-    wanted = job("j-9", tasks=4)
+    surplus = make_job("j-7", tasks=3, team="blue", live=["vm-1"] * 3)
+    wanted = make_job("j-9", tasks=4)
     usage = {"blue": Usage(3000)}
     got = choose_victims([(wanted, 4)], [room(cpus=0)], victims(surplus), teams, usage, {}, 9)
     assert len(got) == 2
@@ -189,21 +189,21 @@
 
 
 def test_room_freed_for_a_job_is_not_given_back_to_the_one_that_was_stopped():
-    stopped, urgent = job("j-7", tasks=1, priority="idle"), job("j-9", tasks=1)
+    stopped, urgent = make_job("j-7", tasks=1, priority="idle"), make_job("j-9", tasks=1)
     claimed = room(claimed_by=frozenset({"j-9"}))
     assert queue(Team("red"), [stopped]).place_next([claimed]) is None
     assert queue(Team("red"), [urgent]).place_next([claimed]).job is urgent
 
 
 def test_replicas_gather_so_that_other_machines_can_be_given_back():
-    replica = job(tasks=1, kind="daemon", spot=False)
+    replica = make_job(tasks=1, kind="daemon", spot=False)
     alone, shared = room("vm-1", cpus=1000), room("vm-2", replica_cpus=1000)
     assert queue(Team("red"), [replica]).place_next([alone, shared]).capacity is shared
 
 
 def test_a_job_that_can_not_be_in_time_gives_way_to_one_that_can():
-    early = job("j-1", 0, tasks=1, job_class="soon", estimate_s=30.0)
-    late = job("j-2", 50_000_000, tasks=1, job_class="soon", estimate_s=30.0)
+    early = make_job("j-1", 0, tasks=1, job_class="soon", estimate_s=30.0)
+    late = make_job("j-2", 50_000_000, tasks=1, job_class="soon", estimate_s=30.0)
 
     def first(now_s):
         turn = queue(Team("red"), [early, late], now_us=now_s * 1_000_000)
@@ -229,7 +229,7 @@
     machines, priority, flood_run_s, limit, whose, share
 ):
     """Scattered room, a full team limit and a low share: each alone would starve it for ever."""
-    big = job("j-0", tasks=9, cpus=4.0, memory_gb=16.0, priority=priority)
+    big = make_job("j-0", tasks=9, cpus=4.0, memory_gb=16.0, priority=priority)
     teams = [Team("red", cpus_max=limit or 0.0), Team("blue", cpus=99.0)]
     names = ["red" if whose == "same team" else "blue"]
     free = {f"vm-{i}": 4000 for i in range(machines)}
@@ -243,7 +243,7 @@
             for name, c in free.items()
         ]
         flood = [
-            job(
+            make_job(
                 f"j-{1000 + second * 40 + i}",
                 second * S,
                 tasks=1,
@@ -282,11 +282,11 @@
 
 
 def test_what_waited_long_to_begin_is_stopped_for_prod_work_only():
-    old = job("j-7", tasks=1, priority="idle", live=["vm-1"])
+    old = make_job("j-7", tasks=1, priority="idle", live=["vm-1"])
     teams = {"red": Team("red")}
     running = {"vm-1": [Victim(old, a, protected=True) for a in old.live_attempts()]}
     for priority, stopped in (("prod", 1), ("high", 0)):
-        urgent = job("j-9", tasks=1, priority=priority)
+        urgent = make_job("j-9", tasks=1, priority=priority)
         got = choose_victims([(urgent, 1)], [room(cpus=0)], running, teams, {}, {}, 9)
         assert len(got) == stopped
     assert is_protected(old, 200 * S) and not is_protected(old, 100 * S)
@@ -294,9 +294,9 @@
 
 def test_a_job_too_large_for_its_teams_limit_to_be_in_time_gives_way_and_waits_count():
     urgency = QueueOrder([Objective("wait", "soon", 90.0)], [Team("red", cpus_max=10.0)])
-    giant = job("j-1", 0, tasks=50, estimate_s=60.0, deadline_s=210.0)
-    small = job("j-2", 5 * S, tasks=9, estimate_s=60.0, deadline_s=210.0)
-    waits = job("j-3", 9 * S, tasks=9, job_class="soon", estimate_s=60.0)
+    giant = make_job("j-1", 0, tasks=50, estimate_s=60.0, deadline_s=210.0)
+    small = make_job("j-2", 5 * S, tasks=9, estimate_s=60.0, deadline_s=210.0)
+    waits = make_job("j-3", 9 * S, tasks=9, job_class="soon", estimate_s=60.0)
     order = sorted([giant, small, waits], key=lambda j: urgency.sort_key(j, 10 * S))
     assert [j.id for j in order] == ["j-3", "j-2", "j-1"]
     # Without a limit it can be in time, and it came first.
--- a/tests/test_renting.py
+++ b/tests/test_renting.py
@@ -5,8 +5,8 @@
 from mosswalk.fleet.renting import FleetScaler
 from tests.fakes import FakeClock, machine_type
 from tests.test_config import write_settings
-from tests.test_offers import made, submit
-from tests.test_placement import job
+from tests.test_offers import make_fleet, submit
+from tests.test_placement import make_job
 
 S = 1_000_000
 
@@ -18,8 +18,8 @@
     begun_us = clock.us
 
     def patient(after_s, guaranteed=False, **changes):
-        waiting = job(tasks=4, **changes)
-        renting._blocked_since_us = {waiting.id: begun_us}
+        waiting = make_job(tasks=4, **changes)
+        renting._stuck_since = {waiting.id: begun_us}
         clock.us = begun_us + after_s * S
         return renting._should_wait_for_spot(waiting, guaranteed)
 
@@ -32,7 +32,7 @@
 
 
 def test_machines_for_a_gang_in_one_zone_are_rented_in_one_zone_and_then_in_the_next(tmp_path):
-    _, mirror, registry, inventory, clock, settings = made(tmp_path, 3)
+    _, mirror, registry, inventory, clock, settings = make_fleet(tmp_path, 3)
     inventory.machines["vm-0002"].zone = "b"
     submit(mirror, kind="group", tasks=6, one_zone=True, spot=False)
     scaler = FleetScaler(settings, inventory, registry, clock)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -28,9 +28,9 @@
 from mosswalk.wire.workers import Report, TaskReport
 from tests.fakes import RECORD_LIMITS, FakeClock, machine_type
 from tests.test_config import write_settings
-from tests.test_jobs import MirrorOf
-from tests.test_offers import place, submit
-from tests.test_placement import job as queued
+from tests.test_jobs import InMemoryMirror
+from tests.test_offers import place_tasks, submit
+from tests.test_placement import make_job
 
 S = 1_000_000
 MACHINES = 900
@@ -67,7 +67,7 @@
     settings = structs.replace(
         settings, params=structs.replace(settings.params, teams=(Team("red"),))
     )
-    mirror, clock = MirrorOf(), FakeClock()
+    mirror, clock = InMemoryMirror(), FakeClock()
     mirror.on_batch_applied = lambda action: None
     mirror.value = lambda key: mirror.rows[key][0] if key in mirror.rows else None
     registry, owner = JobRegistry(mirror), SimpleNamespace(receive_outcomes=lambda message: None)
@@ -128,7 +128,7 @@
         assert led.offers.free_capacities() and led.counts.built == led.counts.plans == 0
         # One that has changed costs one.
         submit(led.mirror, tasks=1)
-        place(led.mirror, led.registry, 1, "vm-000007")
+        place_tasks(led.mirror, led.registry, 1, "vm-000007")
         led.offers.free_capacities()
         led.counts.built = 0
         report(led, 7, 4, TaskReport("j-000001/0", 1, "running"))
@@ -264,7 +264,7 @@
     """A sender, with a job whose tasks are all reported done and none of whose ends is written."""
     led.manager._leading = False
     submit(led.mirror, tasks=tasks)
-    place(led.mirror, led.registry, tasks, "vm-000000")
+    place_tasks(led.mirror, led.registry, tasks, "vm-000000")
     told = []
     owner = SimpleNamespace(receive_outcomes=told.append)
     sender = OutcomeSender(led.registry, led.leadership, owner, None, None, led.clock)
@@ -386,9 +386,9 @@
 def test_only_machines_that_are_looked_at_have_their_tasks_put_in_order(monkeypatch):
     """Sorting all that runs on 4,000 machines took a quarter of the leader's time."""
     ordered = []
-    order = preemption._victim_sort_key
-    monkeypatch.setattr(preemption, "_victim_sort_key", lambda v: ordered.append(v) or order(v))
-    small = queued("j-000002", tasks=LARGE_FLEET, cpus=1.0, priority="idle")
+    order = preemption._order
+    monkeypatch.setattr(preemption, "_order", lambda v: ordered.append(v) or order(v))
+    small = make_job("j-000002", tasks=LARGE_FLEET, cpus=1.0, priority="idle")
     rooms, running = [], {}
     for index in range(LARGE_FLEET):
         name = f"vm-{index:06d}"
@@ -398,7 +398,7 @@
             preemption.Victim(small, Attempt(4 * index + i, 4 * index + i + 1, name, 1, 1))
             for i in range(there)
         ]
-    large = queued("j-000003", tasks=4, cpus=4.0, priority="prod")
+    large = make_job("j-000003", tasks=4, cpus=4.0, priority="prod")
     victims = preemption.choose_victims(
         [(large, 4)], rooms, running, {"red": Team("red")}, {}, {}, 16
     )
@@ -408,7 +408,7 @@
 
 def test_machines_to_empty_are_looked_for_in_a_bounded_part_of_a_large_fleet(monkeypatch):
     """On a calm day each turn would copy all rooms for every machine with a few replicas."""
-    job = queued("j-000001", tasks=LARGE_FLEET, cpus=1.0, kind="daemon")
+    job = make_job("j-000001", tasks=LARGE_FLEET, cpus=1.0, kind="daemon")
     hosts = [
         consolidate.ReplicaHost(
             FreeCapacity(f"vm-{i:06d}", "small", "a", False, 1, 0, 0, 0),
