--- a/tests/test_factory.py
+++ b/tests/test_factory.py
@@ -1,3 +1,5 @@
+"""The factory: estimates by pool, rentals, releases, cordoning, and draining of machines."""
+
 import math
 
 import pytest
@@ -24,7 +26,7 @@
 from tests.test_placement import make_job
 
 S = 1_000_000
-figures = st.builds(
+pool_estimates = st.builds(
     PoolEstimate,
     st.tuples(st.just("t"), st.text("abcdef", min_size=1, max_size=3), st.booleans()),
     st.floats(0.01, 10),
@@ -34,44 +36,47 @@
 )
 
 
-def test_the_papers_time_and_cost_by_a_worked_example():
+def test_time_and_cost_match_a_worked_example_of_the_papers_formulas():
     a = PoolEstimate(("t", "a", False), price=2.0, queue_us=10.0, boot_us=30.0)
     b = PoolEstimate(("t", "b", False), price=1.0, queue_us=20.0, boot_us=60.0)
     action = evaluate([a, b], walltime_us=100.0)
-    # k is a: 40 against 80. c = 2 * (30 + 100) + 1 * 60; r = 20 * (1 + exp(1 - 1.5)) + 100.
+    # In the paper's symbols: k is pool a, as 40 < 80; the cost is c = 2 * (30 + 100) + 1 * 60 and
+    # the time r = 20 * (1 + exp(1 - 1.5)) + 100.
     assert action.cost == pytest.approx(320.0)
     assert action.time_us == pytest.approx(20 * (1 + math.exp(-0.5)) + 100)
-    # A pool alone: the gain is 1 and r = q + b + phi e.
+    # With a single pool, the gain is 1 and r = q + b + phi e.
     assert evaluate([b], 100.0).time_us == pytest.approx(180.0)
 
 
-@given(st.lists(figures, min_size=1, max_size=5, unique_by=lambda f: f.pool), st.floats(0, 1e9))
-def test_no_member_of_the_front_is_dominated_and_none_is_missing(pools, walltime):
-    front = pareto_front(pools, walltime)
+@given(
+    st.lists(pool_estimates, min_size=1, max_size=5, unique_by=lambda f: f.pool), st.floats(0, 1e9)
+)
+def test_pareto_front_is_complete_and_has_no_dominated_member(pools, walltime_us):
+    front = pareto_front(pools, walltime_us)
     assert front
     assert not any(dominates(a, b) for a in front for b in front)
     for pool in pools:
-        alone = evaluate([pool], walltime)
+        alone = evaluate([pool], walltime_us)
         assert any(
             dominates(a, alone) or (a.time_us, a.cost) == (alone.time_us, alone.cost) for a in front
         )
 
 
-@given(st.lists(figures, min_size=1, max_size=4, unique_by=lambda f: f.pool))
-def test_lambda_moves_from_the_cheapest_to_the_fastest(pools):
+@given(st.lists(pool_estimates, min_size=1, max_size=4, unique_by=lambda f: f.pool))
+def test_weight_of_time_selects_between_the_cheapest_and_the_fastest(pools):
     front = pareto_front(pools, 5e6)
     assert optimize(front, 1.0).time_us == min(a.time_us for a in front)
     assert optimize(front, 0.0).cost == min(a.cost for a in front)
 
 
-def test_short_of_calls_the_set_keeps_its_best_pools():
+def test_call_limit_keeps_the_best_pools():
     pools = [PoolEstimate(("t", z, False), 1.0, q, 1.0) for z, q in (("a", 9.0), ("b", 2.0))]
     kept = pools_within_call_limit(evaluate(pools, 1.0), 1)
     assert [p.pool[1] for p in kept] == ["b"]
     assert pools_within_call_limit(evaluate(pools, 1.0), 0) == ()
 
 
-def test_the_dwell_rule_wants_the_ratio_to_stay():
+def test_dwell_requires_the_load_ratio_to_persist():
     dwell = Dwell()
     assert not dwell.update(True, 0, 5 * S)
     assert not dwell.update(True, 4 * S, 5 * S)
@@ -81,22 +86,22 @@
     assert load_ratio(0.0, 0) == 0.0 and load_ratio(0.1, 0) == math.inf
 
 
-def test_a_task_weighs_by_its_scarcest_amount():
+def test_machine_share_of_a_task_follows_its_scarcest_resource():
     job = Job(new_record(job_spec(cpus=1.0, memory_gb=8.0), 0, 8), 1)
     assert machine_share(job, machine_type()) == pytest.approx(0.5)
     assert FreeCapacity("vm", "small", "a", False, 1, 4000, 0, 16_000).max_tasks(job) == 2
 
 
-def waiting(count, **changes):
+def waiting_tasks(count, **changes):
     job = Job(new_record(job_spec(tasks=count, **changes), 0, 256), 1)
     return WaitingTasks(job, count, ZoneRule(False, count))
 
 
-def view(now_us, machines=(), tasks=(), calls=10):
+def fleet_view(now_us, machines=(), tasks=(), calls=10):
     return FleetView(now_us, {"small": machine_type()}, list(machines), list(tasks), calls)
 
 
-def machine(name, zone="a", spot=False, phase="up", idle_us=0, load=0.0, since_us=0):
+def machine_view(name, zone="a", spot=False, phase="up", idle_us=0, load=0.0, since_us=0):
     return MachineView(
         name,
         ("small", zone, spot),
@@ -109,38 +114,38 @@
     )
 
 
-def test_nothing_is_rented_before_the_dwell_and_enough_after_it():
+def test_enough_machines_are_rented_but_only_after_the_dwell():
     factory = Factory(FactoryTuning(high_dwell_s=5.0, most_rented=3))
-    tasks = [waiting(8, cpus=1.0)]
-    assert factory.decide(view(0, tasks=tasks)) == []
-    rents = factory.decide(view(6 * S, tasks=tasks))
+    tasks = [waiting_tasks(8, cpus=1.0)]
+    assert factory.decide(fleet_view(0, tasks=tasks)) == []
+    rents = factory.decide(fleet_view(6 * S, tasks=tasks))
     # Eight tasks of one core need two machines of four.
     assert len(rents) == 2 and all(isinstance(r, Rent) for r in rents)
 
 
-def test_machines_on_their_way_count_as_slots():
+def test_booting_machines_count_as_slots():
     factory = Factory(FactoryTuning(high_dwell_s=0.0))
-    coming = [machine(f"vm-{i}", phase="booting") for i in range(2)]
-    assert factory.decide(view(6 * S, coming, [waiting(8, cpus=1.0)])) == []
+    coming = [machine_view(f"vm-{i}", phase="booting") for i in range(2)]
+    assert factory.decide(fleet_view(6 * S, coming, [waiting_tasks(8, cpus=1.0)])) == []
 
 
-def test_steady_work_is_never_rented_spot_machines():
+def test_no_spot_machines_are_rented_for_tasks_that_do_not_allow_them():
     factory = Factory(FactoryTuning(high_dwell_s=0.0))
-    rents = factory.decide(view(0, tasks=[waiting(8, spot=False)]))
+    rents = factory.decide(fleet_view(0, tasks=[waiting_tasks(8, spot=False)]))
     assert rents and all(not pool[2] for r in rents for pool in r.pools)
 
 
-def test_a_pool_at_its_cap_or_refusing_is_left_alone():
+def test_pool_at_its_cap_or_recently_refused_is_not_rented_from():
     factory = Factory(FactoryTuning(high_dwell_s=0.0, pool_cap=1, weight_of_time=0.0))
-    full = [machine("vm-1", "a", False, load=1.0), machine("vm-2", "a", True, load=1.0)]
+    full = [machine_view("vm-1", "a", False, load=1.0), machine_view("vm-2", "a", True, load=1.0)]
     factory.pools.on_rental_refused(("small", "b", True), 0)
-    (rent,) = factory.decide(view(1 * S, full, [waiting(4)]))
+    (rent,) = factory.decide(fleet_view(1 * S, full, [waiting_tasks(4)]))
     assert rent.pools == (("small", "b", False),)
 
 
-def test_the_losers_of_a_replicated_rent_are_returned_in_the_papers_order():
+def test_surplus_copies_of_a_replicated_rental_are_released_in_the_papers_order():
     factory = Factory(FactoryTuning(high_dwell_s=0.0, weight_of_time=1.0))
-    rent = factory.decide(view(0, tasks=[waiting(1)]))[0]
+    rent = factory.decide(fleet_view(0, tasks=[waiting_tasks(1)]))[0]
     assert len(rent.pools) > 1
     first, *others = rent.pools
     machines = [MachineView("vm-0", first, "up", 9, 0, True, None, 0.0)]
@@ -150,34 +155,37 @@
             MachineView(f"vm-{i}-old", pool, "booting", 2, 0, True, None, 0.0),
             MachineView(f"vm-{i}-new", pool, "booting", 3, 0, True, None, 0.0),
         ]
-    gone = factory.on_copy_booted(rent.group, first, lambda: view(9 * S, machines))
-    assert {g.machine for g in gone} == {f"vm-{i}-new" for i in range(len(others))}
-    again = Factory(FactoryTuning(high_dwell_s=0.0, weight_of_time=1.0))
-    rent = again.decide(view(0, tasks=[waiting(1)]))[0]
-    # Copies that waiting tasks would take stay.
+    released = factory.on_copy_booted(rent.group, first, lambda: fleet_view(9 * S, machines))
+    assert {g.machine for g in released} == {f"vm-{i}-new" for i in range(len(others))}
+    other_factory = Factory(FactoryTuning(high_dwell_s=0.0, weight_of_time=1.0))
+    rent = other_factory.decide(fleet_view(0, tasks=[waiting_tasks(1)]))[0]
+    # Copies that waiting tasks would use are kept.
     assert (
-        again.on_copy_booted(rent.group, first, lambda: view(9 * S, machines, [waiting(1)])) == []
+        other_factory.on_copy_booted(
+            rent.group, first, lambda: fleet_view(9 * S, machines, [waiting_tasks(1)])
+        )
+        == []
     )
-    # The group is settled: a second copy that boots loses nothing more.
-    assert factory.on_copy_booted(rent.group, others[0], lambda: view(9 * S, machines)) == []
+    # The group is closed: a second copy that boots releases nothing more.
+    assert factory.on_copy_booted(rent.group, others[0], lambda: fleet_view(9 * S, machines)) == []
 
 
-def test_idle_machines_go_longest_idle_first_and_the_last_one_stays_under_load():
+def test_idle_machines_are_released_longest_idle_first_and_the_last_one_only_without_load():
     factory = Factory(FactoryTuning(low_dwell_s=0.0, idle_keep_s=1.0, most_returned=9))
-    late = 100 * S
-    machines = [machine("vm-1", idle_us=20 * S), machine("vm-2", idle_us=10 * S)]
-    gone = factory.decide(view(late, [*machines, machine("vm-3", load=0.1)]))
-    assert [g.machine for g in gone] == ["vm-2", "vm-1"]
-    assert all(isinstance(g, Release) for g in gone)
-    busy = machine("vm-1", load=0.0, idle_us=10 * S)
-    busy.load = 0.0
-    only = Factory(FactoryTuning(low_dwell_s=0.0, idle_keep_s=1.0))
-    assert [g.machine for g in only.decide(view(late, [busy]))] == ["vm-1"]
-
-
-def test_nothing_is_given_back_before_it_would_save_money():
+    now_us = 100 * S
+    machines = [machine_view("vm-1", idle_us=20 * S), machine_view("vm-2", idle_us=10 * S)]
+    released = factory.decide(fleet_view(now_us, [*machines, machine_view("vm-3", load=0.1)]))
+    assert [g.machine for g in released] == ["vm-2", "vm-1"]
+    assert all(isinstance(g, Release) for g in released)
+    idle = machine_view("vm-1", load=0.0, idle_us=10 * S)
+    idle.load = 0.0
+    without_load = Factory(FactoryTuning(low_dwell_s=0.0, idle_keep_s=1.0))
+    assert [g.machine for g in without_load.decide(fleet_view(now_us, [idle]))] == ["vm-1"]
+
+
+def test_idle_machine_is_not_released_within_its_minimum_charged_time():
     factory = Factory(FactoryTuning(low_dwell_s=0.0, idle_keep_s=1.0))
-    assert factory.decide(view(30 * S, [machine("vm-1")])) == []
+    assert factory.decide(fleet_view(30 * S, [machine_view("vm-1")])) == []
 
 
 @given(
@@ -195,15 +203,15 @@
     ),
     st.integers(0, 12),
 )
-def test_whatever_it_sees_it_keeps_to_calls_caps_and_kinds(tasks, rows, calls):
+def test_decisions_keep_to_call_limits_pool_caps_and_spot_permissions(tasks, rows, calls):
     tuning = FactoryTuning(high_dwell_s=0.0, low_dwell_s=0.0, idle_keep_s=0.0, pool_cap=4)
     factory = Factory(tuning)
     machines = [
-        machine(f"vm-{i}", zone, spot, phase, 0, load if phase == "up" else 0.0)
+        machine_view(f"vm-{i}", zone, spot, phase, 0, load if phase == "up" else 0.0)
         for i, (zone, spot, phase, load) in enumerate(rows)
     ]
-    pending = [waiting(n, spot=spot, zone=zone) for n, spot, zone in tasks]
-    decisions = factory.decide(view(200 * S, machines, pending, calls))
+    pending = [waiting_tasks(n, spot=spot, zone=zone) for n, spot, zone in tasks]
+    decisions = factory.decide(fleet_view(200 * S, machines, pending, calls))
     rented = [pool for d in decisions if isinstance(d, Rent) for pool in d.pools]
     # One call rents any number of machines of one pool.
     assert len(set(rented)) <= calls
@@ -220,7 +228,7 @@
     return Occupancy(name, used, free, 0, 1, price, movable)
 
 
-def test_the_dearest_waste_is_emptied_if_the_others_have_room():
+def test_machine_with_the_most_costly_waste_is_cordoned_if_others_have_free_capacity():
     machines = [
         occupancy("dear", 10, 54, 4.8),
         occupancy("cheap", 10, 54, 1.8),
@@ -237,41 +245,41 @@
 
 
 @given(st.lists(st.tuples(st.integers(0, 64), st.integers(0, 64), st.floats(0.1, 5)), max_size=9))
-def test_what_is_left_uncordoned_always_holds_the_work(rows):
+def test_uncordoned_machines_always_have_capacity_for_the_cordoned_work(rows):
     machines = [occupancy(f"vm-{i}", u, f, p) for i, (u, f, p) in enumerate(rows)]
-    gone = choose_machines_to_cordon(machines)
-    moved = sum(m.used_cpus for m in machines if m.machine in gone)
-    assert moved <= sum(m.free_cpus for m in machines if m.machine not in gone)
+    cordoned = choose_machines_to_cordon(machines)
+    moved = sum(m.used_cpus for m in machines if m.machine in cordoned)
+    assert moved <= sum(m.free_cpus for m in machines if m.machine not in cordoned)
 
 
-def test_steady_work_does_not_fill_a_large_machine_with_what_waits_for_spot_ones():
-    """Seen in a bench day: a few replicas were given the dearest machine for its whole length."""
+def test_tasks_that_wait_for_spot_do_not_justify_a_large_on_demand_machine():
+    """In a day of the benchmark, a few replicas got the most expensive machine for all of it."""
     types = {
         "small": machine_type(price=0.26, spot_price=0.1),
         "big": machine_type("big", cpus=64.0, memory_gb=512.0, price=4.8, spot_price=1.0),
     }
-    batch = waiting(40)
+    batch = waiting_tasks(40)
     batch.waits_for_spot = True
-    seen = FleetView(0, types, [], [waiting(4, spot=False, kind="daemon"), batch], 9)
-    rents = Factory(FactoryTuning(high_dwell_s=0.0)).decide(seen)
+    fleet = FleetView(0, types, [], [waiting_tasks(4, spot=False, kind="daemon"), batch], 9)
+    rents = Factory(FactoryTuning(high_dwell_s=0.0)).decide(fleet)
     pools = {pool for rent in rents for pool in rent.pools}
     assert not any(name == "big" and not spot for name, _, spot in pools)
     assert any(name == "small" and not spot for name, _, spot in pools)
 
 
-def test_a_machine_is_not_rented_for_little_that_could_wait():
+def test_no_machine_is_rented_for_few_tasks_that_are_not_urgent():
     factory = Factory(FactoryTuning(high_dwell_s=0.0))
-    busy = [machine("vm-1", load=1.0)]
-    little, urgent = waiting(1), waiting(1)
+    busy = [machine_view("vm-1", load=1.0)]
+    few_tasks, urgent = waiting_tasks(1), waiting_tasks(1)
     urgent.urgent = True
-    assert factory.decide(view(0, busy, [little])) == []
-    assert factory.decide(view(1, busy, [urgent])) != []
-    # With no machine to wait for, it is rented all the same.
-    assert factory.decide(view(2, [], [little])) != []
+    assert factory.decide(fleet_view(0, busy, [few_tasks])) == []
+    assert factory.decide(fleet_view(1, busy, [urgent])) != []
+    # If there is no machine to wait for, one is rented all the same.
+    assert factory.decide(fleet_view(2, [], [few_tasks])) != []
 
 
-def host(name, replicas, cpus=4000, settled=True, zone="a", images=("img",)):
-    room = FreeCapacity(
+def replica_host(name, replicas, cpus=4000, drainable=True, zone="a", images=("img",)):
+    capacity = FreeCapacity(
         name,
         "small",
         zone,
@@ -283,52 +291,72 @@
         frozenset(images),
         fetch_s_per_gb=5.0,
     )
-    return ReplicaHost(room, 1000 * len(replicas) / cpus, 0.4, replicas, settled)
+    return ReplicaHost(capacity, 1000 * len(replicas) / cpus, 0.4, replicas, drainable)
 
 
 def replicas(job_id, machines, **changes):
-    made = make_job(job_id, live=machines, kind="daemon", spot=False, **changes)
-    return [(made, attempt) for attempt in made.live_attempts()]
+    job = make_job(job_id, live=machines, kind="daemon", spot=False, **changes)
+    return [(job, attempt) for attempt in job.live_attempts()]
 
 
-def test_a_machine_with_few_replicas_is_emptied_onto_fuller_ones_with_their_image():
-    few, more = replicas("j-1", ["vm-1"]), replicas("j-2", ["vm-2"] * 2)
+def test_machine_with_few_replicas_is_drained_onto_fuller_ones_with_their_image():
+    one_replica, two_replicas = replicas("j-1", ["vm-1"]), replicas("j-2", ["vm-2"] * 2)
     zones = {"vm-1": "a", "vm-2": "a"}
     assert (
-        choose_machine_to_drain([host("vm-1", few), host("vm-2", more)], zones).capacity.machine
+        choose_machine_to_drain(
+            [replica_host("vm-1", one_replica), replica_host("vm-2", two_replicas)], zones
+        ).capacity.machine
         == "vm-1"
     )
-    # Not while other work is there, onto a machine without the image, or where it does not fit.
+    # Not drained while it runs other tasks, nor onto machines without the image or the capacity.
     assert (
-        choose_machine_to_drain([host("vm-1", few, settled=False), host("vm-2", more)], zones)
+        choose_machine_to_drain(
+            [
+                replica_host("vm-1", one_replica, drainable=False),
+                replica_host("vm-2", two_replicas),
+            ],
+            zones,
+        )
         is None
     )
     assert (
-        choose_machine_to_drain([host("vm-1", few), host("vm-2", more, images=())], zones) is None
+        choose_machine_to_drain(
+            [replica_host("vm-1", one_replica), replica_host("vm-2", two_replicas, images=())],
+            zones,
+        )
+        is None
     )
     assert (
-        choose_machine_to_drain([host("vm-1", few), host("vm-2", more, cpus=2000)], zones) is None
+        choose_machine_to_drain(
+            [replica_host("vm-1", one_replica), replica_host("vm-2", two_replicas, cpus=2000)],
+            zones,
+        )
+        is None
     )
-    assert choose_machine_to_drain([host("vm-1", few)], zones) is None
+    assert choose_machine_to_drain([replica_host("vm-1", one_replica)], zones) is None
 
 
-def test_replicas_that_must_be_spread_stay_in_their_zones():
+def test_draining_keeps_spread_replicas_in_their_zones():
     spread = replicas("j-1", ["vm-1", "vm-2"], tasks=2, spread=True)
-    here, there = [spread[0]], [spread[1]]
+    replica_in_a, replica_in_b = [spread[0]], [spread[1]]
     zones = {"vm-1": "a", "vm-2": "b", "vm-3": "b", "vm-4": "a"}
     busy = replicas("j-2", ["vm-3"] * 2)
     hosts = [
-        host("vm-1", here),
-        host("vm-2", there, zone="b", settled=False),
-        host("vm-3", busy, zone="b", settled=False),
+        replica_host("vm-1", replica_in_a),
+        replica_host("vm-2", replica_in_b, zone="b", drainable=False),
+        replica_host("vm-3", busy, zone="b", drainable=False),
     ]
     assert choose_machine_to_drain(hosts, zones) is None
-    hosts.append(host("vm-4", replicas("j-3", ["vm-4"] * 2), settled=False))
+    hosts.append(replica_host("vm-4", replicas("j-3", ["vm-4"] * 2), drainable=False))
     assert choose_machine_to_drain(hosts, zones).capacity.machine == "vm-1"
 
 
-def test_scattered_room_holds_the_load_low_and_machines_are_rented_for_a_gang_all_the_same():
-    """DESIGN's limit: L is 0.65 of 1.02, and no machine has room for a task of the gang."""
+def test_machines_are_rented_for_a_gang_even_if_fragmented_capacity_keeps_the_load_low():
+    """A limit of the load ratio that DESIGN describes.
+
+    The ratio is 0.65, below the threshold of 1.02, yet no machine has free capacity for a task of
+    the gang.
+    """
     gang = Job(new_record(job_spec(kind="group", tasks=2, cpus=3.0, spot=False), 0, 8), 1)
     machines = [
         MachineView(f"vm-{i}", ("small", "a", False), "up", 0, 0, True, None, 0.5)
@@ -340,6 +368,6 @@
     factory = Factory(FactoryTuning())
     rents = []
     for now_us in (0, S):
-        view = FleetView(now_us, {"small": machine_type()}, machines, waiting, 10)
-        rents += [d for d in factory.decide(view) if isinstance(d, Rent)]
+        fleet = FleetView(now_us, {"small": machine_type()}, machines, waiting, 10)
+        rents += [d for d in factory.decide(fleet) if isinstance(d, Rent)]
     assert len(rents) == 2
