--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,4 +1,4 @@
-"""Leaders of 900 and of 4,000 machines: counted work, so that the verdict never varies."""
+"""Leaders of 900 and of 4,000 machines: work is counted, not timed, so that results never vary."""
 
 import asyncio
 from types import SimpleNamespace
@@ -33,12 +33,12 @@
 from tests.test_placement import make_job
 
 S = 1_000_000
-MACHINES = 900
-LARGE_FLEET = 4000
+FLEET_SIZE = 900
+LARGE_FLEET_SIZE = 4000
 
 
-class Led:
-    """Leadership that never ends."""
+class PermanentLeadership:
+    """A leadership that this process never loses."""
 
     node, max_unconfirmed_us, on_term = "a", 20 * S, []
     term = TermRecord(3, "a", {"red": "a"})
@@ -55,14 +55,15 @@
         assert term <= 3
 
     def __init__(self):
-        self.present = {"a", "b"}
+        self.present_zones = {"a", "b"}
 
     def zones_with_controller(self, zones):
-        return self.present & set(zones.values())
+        return self.present_zones & set(zones.values())
 
 
 @pytest.fixture
-def led(tmp_path):
+def leader(tmp_path):
+    """The fleet manager of a leader, and the objects around it; builds and plans are counted."""
     settings = load(write_settings(tmp_path))
     settings = structs.replace(
         settings, params=structs.replace(settings.params, teams=(Team("red"),))
@@ -71,12 +72,12 @@
     mirror.on_batch_applied = lambda action: None
     mirror.value = lambda key: mirror.rows[key][0] if key in mirror.rows else None
     registry, owner = JobRegistry(mirror), SimpleNamespace(receive_outcomes=lambda message: None)
-    leadership = Led()
+    leadership = PermanentLeadership()
     manager = FleetManager(settings, mirror, registry, None, leadership, owner, None, None, clock)
     manager._leading, manager._report_intake._first_term = True, 3
     manager._plan_scheduled = False
     manager.inventory.types = {"small": machine_type()}
-    for i in range(MACHINES):
+    for i in range(FLEET_SIZE):
         name = f"vm-{i:06d}"
         manager.inventory.machines[name] = Machine(
             name,
@@ -91,10 +92,10 @@
             last_seen_at_us=clock.us,
             session=1,
         )
-    offers, counts = manager._offers, SimpleNamespace(built=0, plans=0)
+    offers, counts = manager._offers, SimpleNamespace(builds=0, plans=0)
 
     def build(machine, inner=offers._build):
-        counts.built += 1
+        counts.builds += 1
         return inner(machine)
 
     offers._build = build
@@ -110,54 +111,58 @@
     )
 
 
-def report(led, index, tick, *tasks):
+def send_report(leader, index, sequence, *tasks):
     name = f"vm-{index:06d}"
-    told = Report(name, "1.2.3.4:5", "small", "a", 1, tick, 3, tasks=tasks)
-    assert led.manager.answer_report(told)[0] == 200
+    message = Report(name, "1.2.3.4:5", "small", "a", 1, sequence, 3, tasks=tasks)
+    assert leader.manager.answer_report(message)[0] == 200
 
 
-def test_reports_that_tell_nothing_new_build_no_room_and_ask_for_no_plan(led):
+def test_unchanged_reports_rebuild_no_free_capacity_and_request_no_plan(leader):
     async def run():
-        led.offers.mark_periodic_changes()
-        assert len(led.offers.free_capacities()) == MACHINES
-        led.counts.built = led.counts.plans = 0
-        for tick in range(1, 4):
-            led.clock.us += S
-            for i in range(MACHINES):
-                report(led, i, tick)
-        assert led.offers.free_capacities() and led.counts.built == led.counts.plans == 0
-        # One that has changed costs one.
-        submit(led.mirror, tasks=1)
-        place_tasks(led.mirror, led.registry, 1, "vm-000007")
-        led.offers.free_capacities()
-        led.counts.built = 0
-        report(led, 7, 4, TaskReport("j-000001/0", 1, "running"))
-        report(led, 7, 5, TaskReport("j-000001/0", 1, "running"))
-        led.offers.free_capacities()
-        assert led.counts.built == led.counts.plans == 1
-        report(led, 7, 6, TaskReport("j-000001/0", 1, "exited", "done"))
-        led.offers.free_capacities()
-        assert led.counts.built == led.counts.plans == 2
+        leader.offers.mark_periodic_changes()
+        assert len(leader.offers.free_capacities()) == FLEET_SIZE
+        leader.counts.builds = leader.counts.plans = 0
+        for sequence in range(1, 4):
+            leader.clock.us += S
+            for i in range(FLEET_SIZE):
+                send_report(leader, i, sequence)
+        assert leader.offers.free_capacities() and leader.counts.builds == leader.counts.plans == 0
+        # A report that changes something costs one build and one plan.
+        submit(leader.mirror, tasks=1)
+        place_tasks(leader.mirror, leader.registry, 1, "vm-000007")
+        leader.offers.free_capacities()
+        leader.counts.builds = 0
+        send_report(leader, 7, 4, TaskReport("j-000001/0", 1, "running"))
+        send_report(leader, 7, 5, TaskReport("j-000001/0", 1, "running"))
+        leader.offers.free_capacities()
+        assert leader.counts.builds == leader.counts.plans == 1
+        send_report(leader, 7, 6, TaskReport("j-000001/0", 1, "exited", "done"))
+        leader.offers.free_capacities()
+        assert leader.counts.builds == leader.counts.plans == 2
 
     asyncio.run(run())
 
 
-def test_a_machine_heard_of_again_after_a_silence_gives_room_again(led):
+def test_machine_that_reports_after_a_silence_has_free_capacity_again(leader):
     async def run():
-        led.offers.mark_periodic_changes()
-        led.clock.us += 60 * S
-        led.offers.mark_periodic_changes()
-        assert led.offers.free_capacities() == []
-        report(led, 5, 1)
-        assert [room.machine for room in led.offers.free_capacities()] == ["vm-000005"]
-        assert led.counts.plans == 1
+        leader.offers.mark_periodic_changes()
+        leader.clock.us += 60 * S
+        leader.offers.mark_periodic_changes()
+        assert leader.offers.free_capacities() == []
+        send_report(leader, 5, 1)
+        assert [free.machine for free in leader.offers.free_capacities()] == ["vm-000005"]
+        assert leader.counts.plans == 1
 
     asyncio.run(run())
 
 
-def test_a_zone_that_was_cut_off_is_given_time_to_come_back(led):
-    """Released in the second in which their cut healed: 250 machines, tasks and all."""
-    manager, clock = led.manager, led.clock
+def test_machines_may_reconnect_after_a_partition_of_their_zone(leader):
+    """Guards against releases right after a partition has healed.
+
+    250 machines were released with their tasks in the very second in which their zone was
+    reachable again.
+    """
+    manager, clock = leader.manager, leader.clock
     zone = manager._settings.zone
     released = []
     manager.cloud = SimpleNamespace(
@@ -166,7 +171,7 @@
     for machine in manager.inventory.machines.values():
         machine.zone = zone
     manager._leading_since_us = manager._answering_since_us = clock.us - 60 * S
-    led.leadership.present = set()
+    leader.leadership.present_zones = set()
     silent_us = (
         manager._overdue_machines.silence_limits.lease_us
         + manager._overdue_machines.silence_limits.silent_after_us
@@ -175,32 +180,36 @@
     for _ in range(silent_us // S):
         clock.us += S
         manager._release_overdue()
-    led.leadership.present = {zone}
+    leader.leadership.present_zones = {zone}
     machines = list(manager.inventory.machines.values())
     for second in range(6):
         clock.us += S
-        # Most are heard again before the last one.
-        for machine in machines[: MACHINES * (second + 1) // 7]:
+        # More machines report in each second, but not all of them.
+        for machine in machines[: FLEET_SIZE * (second + 1) // 7]:
             machine.last_seen_at_us = clock.us
         manager._release_overdue()
     assert released == []
     for _ in range(4):
         clock.us += S
         manager._release_overdue()
-    assert len(released) == MACHINES - MACHINES * 6 // 7
+    assert len(released) == FLEET_SIZE - FLEET_SIZE * 6 // 7
+
 
+def test_leader_that_refused_reports_waits_for_new_ones_before_it_releases_machines(leader):
+    """Guards against releases right after an outage of the state service.
 
-def test_a_leader_that_turned_reports_away_hears_the_machines_before_it_releases_any(led):
-    """Seen on a recorded day: an outage of 52 s ended, and in that second all were released."""
-    manager, clock, released = led.manager, led.clock, []
+    On a recorded day such an outage ended after 52 s, and in that second all machines were
+    released.
+    """
+    manager, clock, released = leader.manager, leader.clock, []
     manager.cloud = SimpleNamespace(
         release=lambda names, requires_state_service: released.extend(names)
     )
-    led.leadership.may_renew_worker_leases = lambda: False
+    leader.leadership.may_renew_worker_leases = lambda: False
     for _ in range(104):
         clock.us += S // 2
         manager._tick()
-    led.leadership.may_renew_worker_leases = lambda: True
+    leader.leadership.may_renew_worker_leases = lambda: True
     clock.us += S // 2
     manager._release_overdue()
     assert released == []
@@ -212,23 +221,26 @@
     assert sorted(released) == [machine.name for machine in machines[:5]]
 
 
-def test_a_leader_that_begins_while_the_cloud_is_down_uses_the_room_there_is_but_rents_none(led):
-    manager = led.manager
-    shapes = Raw(records.encode([machine_type(price=0.0, spot_price=0.0)]))
-    led.mirror.commit(Change({}, {records.MACHINE_TYPES_KEY: shapes}))
+def test_leader_elected_during_a_cloud_outage_uses_its_machines_but_rents_none(leader):
+    manager = leader.manager
+    recorded_types = Raw(records.encode([machine_type(price=0.0, spot_price=0.0)]))
+    leader.mirror.commit(Change({}, {records.MACHINE_TYPES_KEY: recorded_types}))
     manager.inventory.types = {}
     manager._list_received = manager._is_first_leader = True
     manager._load_recorded_types()
     manager._offers.mark_periodic_changes()
-    assert len(manager._offers.free_capacities()) == MACHINES
+    assert len(manager._offers.free_capacities()) == FLEET_SIZE
     assert not manager._ready_to_rent()
     manager._on_types((machine_type(),))
     assert manager._ready_to_rent()
 
 
-def test_in_an_outage_a_worker_that_the_leader_did_not_answer_is_kept_when_it_comes_back(led):
-    """A leader lost its workers while the state service was down: every lease ran out."""
-    manager, leadership = led.manager, led.leadership
+def test_follower_keeps_a_worker_alive_in_an_outage_if_the_leader_did_not_answer_it(leader):
+    """Guards against workers whose leases expire while the state service is down.
+
+    A leader lost its workers that way: every lease expired.
+    """
+    manager, leadership = leader.manager, leader.leadership
     manager._leading = False
     leadership.leads, leadership.leader, leadership.may_renew_worker_leases_as_follower = (
         lambda: False,
@@ -239,129 +251,130 @@
     manager.follower_reports.no_peer_reaches_state_service = lambda: outage
 
     async def run():
-        async def answer(epoch=3):
-            told = Report("vm-000001", "1.2.3.4:5", "small", "a", 1, 9, epoch)
-            return manager.answer_report(told)[0]
+        async def answer(term=3):
+            message = Report("vm-000001", "1.2.3.4:5", "small", "a", 1, 9, term)
+            return manager.answer_report(message)[0]
 
         nonlocal outage
         assert await answer() == 421
         assert await answer() == 200
-        led.clock.us += 4 * S
+        leader.clock.us += 4 * S
         assert await answer() == 200
-        # It would drop our answer, and stay with us all the same.
+        # A worker that has seen a higher term would drop the answer, yet keep reporting here.
         leadership.observe_term = lambda term: None
-        assert await answer(epoch=4) == 421
+        assert await answer(term=4) == 421
         outage = False
         assert await answer() == 421
         outage = True
-        led.clock.us += manager._lease_us + S
+        leader.clock.us += manager._lease_us + S
         assert await answer() == 421
 
     asyncio.run(run())
 
 
-def outcome_sender(led, tasks):
-    """A sender, with a job whose tasks are all reported done and none of whose ends is written."""
-    led.manager._leading = False
-    submit(led.mirror, tasks=tasks)
-    place_tasks(led.mirror, led.registry, tasks, "vm-000000")
-    told = []
-    owner = SimpleNamespace(receive_outcomes=told.append)
-    sender = OutcomeSender(led.registry, led.leadership, owner, None, None, led.clock)
+def make_outcome_sender(leader, tasks):
+    """A sender, and what it sent: all tasks of a job are reported done, and none is recorded so."""
+    leader.manager._leading = False
+    submit(leader.mirror, tasks=tasks)
+    place_tasks(leader.mirror, leader.registry, tasks, "vm-000000")
+    sent = []
+    owner = SimpleNamespace(receive_outcomes=sent.append)
+    sender = OutcomeSender(leader.registry, leader.leadership, owner, None, None, leader.clock)
     for index in range(tasks):
         sender.add_reported(Outcome(f"j-000001/{index}", index + 1, "vm-000000", "done"))
     sender.send_due()
-    return sender, told
+    return sender, sent
 
 
-def test_an_outcome_costs_by_itself_however_many_wait_to_be_written(led):
-    sender, told = outcome_sender(led, tasks=200)
-    assert [len(message.outcomes) for message in told] == [200]
-    submit(led.mirror, id="j-000002", tasks=1)
-    job = led.registry.jobs["j-000002"]
+def test_sending_an_outcome_does_not_cost_more_when_many_are_not_yet_recorded(leader):
+    sender, sent = make_outcome_sender(leader, tasks=200)
+    assert [len(message.outcomes) for message in sent] == [200]
+    submit(leader.mirror, id="j-000002", tasks=1)
+    job = leader.registry.jobs["j-000002"]
     draft = Draft(job, RECORD_LIMITS)
     draft.place(Assignment(0, "vm-000001", 1), 1)
-    led.mirror.commit(draft.to_change({}))
-    looks = []
-    attempts_on = led.registry.attempts_on
-    led.registry.attempts_on = lambda name: looks.append(name) or attempts_on(name)
+    leader.mirror.commit(draft.to_change({}))
+    lookups = []
+    attempts_on = leader.registry.attempts_on
+    leader.registry.attempts_on = lambda name: lookups.append(name) or attempts_on(name)
     sender.add_reported(Outcome("j-000002/0", 1, "vm-000001", "done"))
     sender.send_new()
-    assert [len(message.outcomes) for message in told] == [200, 1]
-    assert looks == ["vm-000001"]
-    # What has been told is not told anew by another report, but is in its time.
+    assert [len(message.outcomes) for message in sent] == [200, 1]
+    assert lookups == ["vm-000001"]
+    # A further report does not send an outcome again; only the resend interval does.
     sender.send_new()
-    assert len(told) == 2
-    led.clock.us += S
+    assert len(sent) == 2
+    leader.clock.us += S
     sender.send_due()
-    assert [len(message.outcomes) for message in told] == [200, 1, 201]
+    assert [len(message.outcomes) for message in sent] == [200, 1, 201]
 
 
-def test_what_the_records_show_is_told_no_more(led):
-    sender, told = outcome_sender(led, tasks=3)
-    draft = Draft(led.registry.jobs["j-000001"], RECORD_LIMITS)
+def test_recorded_outcomes_are_not_sent_again(leader):
+    sender, sent = make_outcome_sender(leader, tasks=3)
+    draft = Draft(leader.registry.jobs["j-000001"], RECORD_LIMITS)
     draft.record_outcome(0, 1, "done")
-    led.mirror.commit(draft.to_change({}))
-    led.clock.us += S
+    leader.mirror.commit(draft.to_change({}))
+    leader.clock.us += S
     sender.send_due()
-    assert [o.task for o in told[1].outcomes] == ["j-000001/1", "j-000001/2"]
+    assert [o.task for o in sent[1].outcomes] == ["j-000001/1", "j-000001/2"]
 
 
-def test_machines_that_are_gone_stay_known_while_the_list_or_a_late_copy_may_name_them():
+def test_removed_machines_are_remembered_while_the_list_or_a_late_copy_may_name_them():
     inventory = Inventory()
-    for index in range(2 * LARGE_FLEET):
+    for index in range(2 * LARGE_FLEET_SIZE):
         inventory.remove(f"vm-{index:06d}", index)
-    assert all(inventory.is_gone(f"vm-{index:06d}") for index in range(2 * LARGE_FLEET))
-    # Later only some of them are kept.
+    assert all(inventory.is_gone(f"vm-{index:06d}") for index in range(2 * LARGE_FLEET_SIZE))
+    # Old entries are dropped later.
     inventory.remove("vm-900000", 3600 * S)
     assert inventory.is_gone("vm-900000") and not inventory.is_gone("vm-000000")
 
 
-def test_reading_the_list_of_a_large_fleet_leaves_most_cloud_calls_for_rents(led):
-    manager = led.manager
+def test_listing_a_large_fleet_takes_at_most_a_quarter_of_the_cloud_calls(leader):
+    manager = leader.manager
     rps = manager._settings.params.cloud.rps
-    for count in (MACHINES, LARGE_FLEET):
+    for count in (FLEET_SIZE, LARGE_FLEET_SIZE):
         for index in range(count):
             manager.inventory.adopt(f"vm-{index:06d}", "small", "a", False, "up", 0)
         pages = -(-count // 500)
         assert pages / (manager._list_period_us() / S) <= rps / 4
 
 
-def test_a_large_fleet_is_called_over_within_a_lease(led):
-    manager, probed = led.manager, []
+def test_large_fleet_is_probed_within_a_lease(leader):
+    manager, probed = leader.manager, []
     manager._command_sender.probe = lambda machine: probed.append(machine.name)
-    for index in range(LARGE_FLEET):
+    for index in range(LARGE_FLEET_SIZE):
         manager.inventory.adopt(f"vm-{index:06d}", "small", "a", False, "up", 0).address = "x"
     for machine in manager.inventory.machines.values():
         machine.has_acknowledged_leader = False
-    manager._leading_since_us = led.clock.us
-    led.clock.us += 10 * S
-    turns = manager._lease_us // (S // 2)
-    for _ in range(turns):
+    manager._leading_since_us = leader.clock.us
+    leader.clock.us += 10 * S
+    ticks = manager._lease_us // (S // 2)
+    for _ in range(ticks):
         manager._stray_machines.probe(manager._leading_since_us)
         for name in probed:
             manager.inventory.machines[name].has_acknowledged_leader = True
-    assert len(set(probed)) == LARGE_FLEET
+    assert len(set(probed)) == LARGE_FLEET_SIZE
 
 
-def test_one_pool_and_one_job_may_fill_a_large_fleet(led):
-    scaler = led.manager._scaler
-    submit(led.mirror, tasks=LARGE_FLEET, cpus=4.0, spot=False)
-    job = led.registry.jobs["j-000001"]
-    scaler._blocked_jobs = {"red": [job]}
+def test_one_pool_and_one_job_can_fill_a_large_fleet(leader):
+    scaler = leader.manager._scaler
+    submit(leader.mirror, tasks=LARGE_FLEET_SIZE, cpus=4.0, spot=False)
+    job = leader.registry.jobs["j-000001"]
+    scaler._stuck = {"red": [job]}
     (waiting,) = scaler.waiting_tasks()
-    assert waiting.count == LARGE_FLEET
+    assert waiting.count == LARGE_FLEET_SIZE
     pool = ("small", "a", False)
     machines = [
-        MachineView(f"vm-{i}", pool, "up", 0, 0, True, None, 1.0) for i in range(LARGE_FLEET - 1)
+        MachineView(f"vm-{i}", pool, "up", 0, 0, True, None, 1.0)
+        for i in range(LARGE_FLEET_SIZE - 1)
     ]
     factory = Factory(FactoryTuning(high_dwell_s=0.0))
     types = {"small": machine_type(zones=("a",))}
-    decided = factory.decide(FleetView(0, types, machines, [waiting], 9))
-    assert any(isinstance(d, Rent) and pool in d.pools for d in decided)
+    decisions = factory.decide(FleetView(0, types, machines, [waiting], 9))
+    assert any(isinstance(d, Rent) and pool in d.pools for d in decisions)
 
 
-def test_room_on_a_large_fleet_fits_a_message_to_its_owner():
+def test_offer_of_a_large_fleet_fits_in_one_message():
     images = tuple(f"registry/team/image-{i:03d}" for i in range(10))
     slots = tuple(
         MachineOffer(
@@ -377,38 +390,41 @@
             0.123456,
             6.6666666,
         )
-        for i in range(LARGE_FLEET)
+        for i in range(LARGE_FLEET_SIZE)
     )
     offer = Offer(7, tuple(TeamOffer(f"team-{i}", slots) for i in range(10)))
     assert len(msgspec.msgpack.encode(offer)) < MAX_MESSAGE_BYTES
 
 
-def test_only_machines_that_are_looked_at_have_their_tasks_put_in_order(monkeypatch):
-    """Sorting all that runs on 4,000 machines took a quarter of the leader's time."""
+def test_preemption_sorts_only_the_tasks_of_machines_it_examines(monkeypatch):
+    """Sorting all tasks that run on 4,000 machines took a quarter of the leader's time."""
     ordered = []
     order = preemption._order
     monkeypatch.setattr(preemption, "_order", lambda v: ordered.append(v) or order(v))
-    small = make_job("j-000002", tasks=LARGE_FLEET, cpus=1.0, priority="idle")
-    rooms, running = [], {}
-    for index in range(LARGE_FLEET):
+    small = make_job("j-000002", tasks=LARGE_FLEET_SIZE, cpus=1.0, priority="idle")
+    capacities, running = [], {}
+    for index in range(LARGE_FLEET_SIZE):
         name = f"vm-{index:06d}"
-        rooms.append(FreeCapacity(name, "small", "a", False, 1, 0, 0, 16_000))
-        there = 4 if index % 1000 == 0 else 1
+        capacities.append(FreeCapacity(name, "small", "a", False, 1, 0, 0, 16_000))
+        task_count = 4 if index % 1000 == 0 else 1
         running[name] = [
             preemption.Victim(small, Attempt(4 * index + i, 4 * index + i + 1, name, 1, 1))
-            for i in range(there)
+            for i in range(task_count)
         ]
     large = make_job("j-000003", tasks=4, cpus=4.0, priority="prod")
     victims = preemption.choose_victims(
-        [(large, 4)], rooms, running, {"red": Team("red")}, {}, {}, 16
+        [(large, 4)], capacities, running, {"red": Team("red")}, {}, {}, 16
     )
     assert len(victims) == 16 and len({v.attempt.machine for v in victims}) == 4
     assert len(ordered) == 16
 
 
-def test_machines_to_empty_are_looked_for_in_a_bounded_part_of_a_large_fleet(monkeypatch):
-    """On a calm day each turn would copy all rooms for every machine with a few replicas."""
-    job = make_job("j-000001", tasks=LARGE_FLEET, cpus=1.0, kind="daemon")
+def test_search_for_a_machine_to_drain_examines_a_bounded_number(monkeypatch):
+    """Otherwise each search would copy all free capacities for every machine with few replicas.
+
+    That cost shows on a calm day, when nothing else is to be done.
+    """
+    job = make_job("j-000001", tasks=LARGE_FLEET_SIZE, cpus=1.0, kind="daemon")
     hosts = [
         consolidate.ReplicaHost(
             FreeCapacity(f"vm-{i:06d}", "small", "a", False, 1, 0, 0, 0),
@@ -417,7 +433,7 @@
             [(job, Attempt(i, i + 1, f"vm-{i:06d}", 1, 1))],
             True,
         )
-        for i in range(LARGE_FLEET)
+        for i in range(LARGE_FLEET_SIZE)
     ]
     looks = []
     monkeypatch.setattr(
@@ -427,11 +443,11 @@
     assert 0 < len(looks) <= 64
 
 
-def test_all_workers_of_a_large_fleet_may_connect_at_once(led, monkeypatch):
-    """After a takeover each of them turns to the new leader within a second."""
+def test_listen_backlog_lets_all_workers_of_a_large_fleet_connect_at_once(leader, monkeypatch):
+    """After a takeover, each of them connects to the new leader within a second."""
     started, all_started = [], asyncio.Event()
 
-    class Site:
+    class StubSite:
         def __init__(self, runner, host, port, *, backlog, reuse_address):
             started.append(backlog)
 
@@ -439,27 +455,30 @@
             if len(started) == 2:
                 all_started.set()
 
-    monkeypatch.setattr(service.web, "TCPSite", Site)
+    monkeypatch.setattr(service.web, "TCPSite", StubSite)
     limits = structs.replace(
-        led.manager._settings.params.machine_limits, max_connections=LARGE_FLEET * 2
+        leader.manager._settings.params.machine_limits, max_connections=LARGE_FLEET_SIZE * 2
     )
-    params = structs.replace(led.manager._settings.params, machine_limits=limits)
-    settings = structs.replace(led.manager._settings, params=params)
+    params = structs.replace(leader.manager._settings.params, machine_limits=limits)
+    settings = structs.replace(leader.manager._settings, params=params)
 
     async def run():
-        work = asyncio.create_task(service.serve(settings))
+        serving = asyncio.create_task(service.serve(settings))
         await asyncio.wait_for(all_started.wait(), 10)
-        work.cancel()
-        await asyncio.gather(work, return_exceptions=True)
+        serving.cancel()
+        await asyncio.gather(serving, return_exceptions=True)
 
     asyncio.run(run())
-    assert started == [LARGE_FLEET * 2] * 2
+    assert started == [LARGE_FLEET_SIZE * 2] * 2
+
 
+def test_due_outcomes_are_sent_again_with_the_next_report_and_not_only_on_the_tick(leader):
+    """Guards against gangs that start half a second late.
 
-def test_what_is_due_again_is_told_with_the_next_report_and_not_only_on_the_tick(led):
-    """Owners gather outcomes until they are told the next: gangs began half a second late."""
-    sender, told = outcome_sender(led, tasks=3)
-    led.clock.us += 750_000
+    Owners collect outcomes until they receive the next ones, which came on the tick alone.
+    """
+    sender, sent = make_outcome_sender(leader, tasks=3)
+    leader.clock.us += 750_000
     sender.add_reported(Outcome("j-000001/0", 1, "vm-000000", "done"))
     sender.send_new()
-    assert [len(message.outcomes) for message in told] == [3, 3]
+    assert [len(message.outcomes) for message in sent] == [3, 3]
