--- a/tests/test_renting.py
+++ b/tests/test_renting.py
@@ -21,7 +21,7 @@
 
     def waits_for_spot(after_s, guaranteed=False, **changes):
         waiting = make_job(tasks=4, **changes)
-        renting._stuck_since = {waiting.id: begun_us}
+        renting._blocked_since_us = {waiting.id: begun_us}
         clock.us = begun_us + after_s * S
         return renting._should_wait_for_spot(waiting, guaranteed)
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -360,7 +360,7 @@
     scaler = leader.manager._scaler
     submit(leader.mirror, tasks=LARGE_FLEET_SIZE, cpus=4.0, spot=False)
     job = leader.registry.jobs["j-000001"]
-    scaler._stuck = {"red": [job]}
+    scaler._blocked_jobs = {"red": [job]}
     (waiting,) = scaler.waiting_tasks()
     assert waiting.count == LARGE_FLEET_SIZE
     pool = ("small", "a", False)
@@ -399,8 +399,8 @@
 def test_preemption_sorts_only_the_tasks_of_machines_it_examines(monkeypatch):
     """Sorting all tasks that run on 4,000 machines took a quarter of the leader's time."""
     ordered = []
-    order = preemption._order
-    monkeypatch.setattr(preemption, "_order", lambda v: ordered.append(v) or order(v))
+    order = preemption._victim_sort_key
+    monkeypatch.setattr(preemption, "_victim_sort_key", lambda v: ordered.append(v) or order(v))
     small = make_job("j-000002", tasks=LARGE_FLEET_SIZE, cpus=1.0, priority="idle")
     capacities, running = [], {}
     for index in range(LARGE_FLEET_SIZE):
