--- a/tests/simulated_gangs.py
+++ b/tests/simulated_gangs.py
@@ -1,4 +1,4 @@
-"""Gangs as workers run them, by the users' table of phases."""
+"""How workers run gangs: the phases that the users' documentation specifies."""
 
 from __future__ import annotations
 
@@ -12,45 +12,47 @@
 GANG_WAIT_S = 20.0
 GANG_PEER_S = 4.0
 
-Key = tuple[str, int]
+# A task's name and the number of its attempt.
+AttemptKey = tuple[str, int]
 
 
 @dataclass
-class Attempt:
-    """One attempt of a gang, as its tasks know it together."""
+class GangAttempt:
+    """One attempt of a gang: the state that its tasks share."""
 
-    ends: float | None = None
-    # When the first task was told to stop in good order, and who was told since.
-    stopped: float | None = None
-    told: set[str] = field(default_factory=set)
-    # Since when a task of it has been missing or has hung, while it ran.
-    lost: float | None = None
-    over: bool = False
+    ends_at_s: float | None = None
+    # When the first task was told to checkpoint and stop, and which tasks have been told.
+    stop_requested_at_s: float | None = None
+    tasks_told_to_stop: set[str] = field(default_factory=set)
+    # Since when a task of the running attempt has been missing or hung.
+    incomplete_since_s: float | None = None
+    finished: bool = False
 
 
 class SimulatedGangs:
-    """What the tasks of each attempt find out about one another."""
+    """Runs the tasks of each gang attempt together."""
 
     def __init__(self, region: Simulation) -> None:
         self.region = region
-        self.attempts: dict[tuple[str, int], Attempt] = {}
+        # By job id and the number of the attempt.
+        self.attempts: dict[tuple[str, int], GangAttempt] = {}
 
-    def of(self, key: Key) -> Attempt:
-        return self.attempts.setdefault((key[0].partition("/")[0], key[1]), Attempt())
+    def attempt_of(self, key: AttemptKey) -> GangAttempt:
+        return self.attempts.setdefault((key[0].partition("/")[0], key[1]), GangAttempt())
 
-    def stop(self, worker: Worker, key: Key, grace_s: float) -> None:
-        """A task is told to stop."""
-        attempt, spec = self.of(key), self.region.spec_of(key[0])
-        saves = spec.checkpoint_interval_s > 0 and grace_s >= spec.checkpoint_duration_s
-        if attempt.ends is None or not saves:
+    def stop(self, worker: Worker, key: AttemptKey, grace_s: float) -> None:
+        """Stop a task; a running gang first takes a checkpoint, if the grace period allows it."""
+        attempt, spec = self.attempt_of(key), self.region.spec_of(key[0])
+        can_checkpoint = spec.checkpoint_interval_s > 0 and grace_s >= spec.checkpoint_duration_s
+        if attempt.ends_at_s is None or not can_checkpoint:
             worker.end_task(key, "stopped")
             return
-        attempt.stopped = attempt.stopped or self.region.now()
-        attempt.told.add(key[0])
+        attempt.stop_requested_at_s = attempt.stop_requested_at_s or self.region.now()
+        attempt.tasks_told_to_stop.add(key[0])
 
     def advance(self) -> None:
-        """Let every attempt go on."""
-        members: dict[tuple[str, int], dict[Key, Worker]] = {}
+        """Advance every attempt to the current time."""
+        members_by_attempt: dict[tuple[str, int], dict[AttemptKey, Worker]] = {}
         for worker in self.region.workers.values():
             for (task, number), row in worker.tasks.items():
                 job_id = task.partition("/")[0]
@@ -58,49 +60,57 @@
                     "gathering",
                     "running",
                 ):
-                    members.setdefault((job_id, number), {})[(task, number)] = worker
-        for (job_id, number), there in members.items():
-            self._advance(self.attempts.setdefault((job_id, number), Attempt()), job_id, there)
+                    members_by_attempt.setdefault((job_id, number), {})[(task, number)] = worker
+        for (job_id, number), members in members_by_attempt.items():
+            self._advance_attempt(
+                self.attempts.setdefault((job_id, number), GangAttempt()), job_id, members
+            )
 
     def _hangs(self, worker: Worker) -> bool:
         return worker.name in self.region.network.hung_hosts
 
-    def _exit(self, there: dict[Key, Worker], cause: str) -> None:
-        for key, worker in there.items():
+    def _end_members(self, members: dict[AttemptKey, Worker], cause: str) -> None:
+        for key, worker in members.items():
             if not self._hangs(worker):
                 worker.end_task(key, cause)
 
-    def _advance(self, attempt: Attempt, job_id: str, there: dict[Key, Worker]) -> None:
+    def _advance_attempt(
+        self, attempt: GangAttempt, job_id: str, members: dict[AttemptKey, Worker]
+    ) -> None:
         now, spec = self.region.now(), self.region.specs[job_id]
-        whole = len(there) == spec.tasks and not any(self._hangs(w) for w in there.values())
-        if attempt.ends is None:
-            if whole and not attempt.over:
-                self._start(attempt, job_id, there)
+        is_complete = len(members) == spec.tasks and not any(
+            self._hangs(w) for w in members.values()
+        )
+        if attempt.ends_at_s is None:
+            if is_complete and not attempt.finished:
+                self._start(attempt, job_id, members)
                 return
-            late = {k: w for k, w in there.items() if now >= w.tasks[k]["until"]}
-            self._exit(late, "alone")
-        elif attempt.stopped is not None:
-            self._save(attempt, spec, there, whole)
-        elif not whole:
-            attempt.lost = attempt.lost or now
-            if now - attempt.lost >= GANG_PEER_S:
-                self._exit(there, "mates_gone")
-        elif now >= attempt.ends:
-            attempt.over = True
-            self._exit(there, "done")
-
-    def _start(self, attempt: Attempt, job_id: str, there: dict[Key, Worker]) -> None:
+            timed_out = {k: w for k, w in members.items() if now >= w.tasks[k]["until"]}
+            self._end_members(timed_out, "alone")
+        elif attempt.stop_requested_at_s is not None:
+            self._checkpoint(attempt, spec, members, is_complete)
+        elif not is_complete:
+            attempt.incomplete_since_s = attempt.incomplete_since_s or now
+            if now - attempt.incomplete_since_s >= GANG_PEER_S:
+                self._end_members(members, "mates_gone")
+        elif now >= attempt.ends_at_s:
+            attempt.finished = True
+            self._end_members(members, "done")
+
+    def _start(self, attempt: GangAttempt, job_id: str, members: dict[AttemptKey, Worker]) -> None:
         self.region.counts["gangs_started"] += 1
-        attempt.ends = self.region.now() + self.region.draw_run_time_s(next(iter(there))[0])
-        for key, worker in there.items():
+        attempt.ends_at_s = self.region.now() + self.region.draw_run_time_s(next(iter(members))[0])
+        for key, worker in members.items():
             worker.tasks[key]["phase"] = "running"
             worker.notify_changed()
 
-    def _save(self, attempt: Attempt, spec, there: dict[Key, Worker], whole: bool) -> None:
+    def _checkpoint(
+        self, attempt: GangAttempt, spec, members: dict[AttemptKey, Worker], is_complete: bool
+    ) -> None:
         now = self.region.now()
-        if whole and attempt.told == {task for task, _ in there}:
-            if now >= attempt.stopped + spec.checkpoint_duration_s:
+        if is_complete and attempt.tasks_told_to_stop == {task for task, _ in members}:
+            if now >= attempt.stop_requested_at_s + spec.checkpoint_duration_s:
                 self.region.counts["gangs_saved"] += 1
-                self._exit(there, "stopped")
-        elif now >= attempt.stopped + max(GANG_PEER_S, spec.checkpoint_duration_s):
-            self._exit(there, "mates_gone")
+                self._end_members(members, "stopped")
+        elif now >= attempt.stop_requested_at_s + max(GANG_PEER_S, spec.checkpoint_duration_s):
+            self._end_members(members, "mates_gone")
--- a/tests/simulated_services.py
+++ b/tests/simulated_services.py
@@ -1,4 +1,4 @@
-"""A region's state service and machines, by their published protocols, troubles included."""
+"""The simulated state service and machines, by their published protocols, also in their faults."""
 
 from __future__ import annotations
 
@@ -23,15 +23,17 @@
 
 
 class StateService:
-    """The store with its leases; may be down, refuse some, be slow, or carry writes out late."""
+    """The store and its leases; it can be down, refuse some senders, or commit late."""
 
     def __init__(self, region: Simulation) -> None:
         self.region = region
         self.store = InMemoryStore()
+        # By lease: when it expires, and its time to live.
         self.leases: dict[int, tuple[float, float]] = {}
         self._up = asyncio.Event()
         self._up.set()
         self.refused_senders: set[str] = set()
+        # The share of transactions that are committed late, without an answer in time.
         self.late_commit_share = 0.0
         self._changed = asyncio.Event()
 
@@ -116,7 +118,7 @@
         if self.down or sender in self.refused_senders:
             return 503, b"{}"
         after, prefix = int(query["after"]), query["starts"]
-        until = self.region.now() + int(query.get("hold_ms", 0)) / 1000
+        answer_at_s = self.region.now() + int(query.get("hold_ms", 0)) / 1000
         while True:
             changed = self._changed
             if not self.down and sender not in self.refused_senders:
@@ -125,10 +127,10 @@
                     for e in self.store.events[-2000:]
                     if e["stamp"] > after and (e.get("write") or e["delete"]).startswith(prefix)
                 ]
-                if events or self.region.now() >= until:
+                if events or self.region.now() >= answer_at_s:
                     body = {"ledger": self.store.revision, "events": events}
                     return 200, json.dumps(body).encode()
-                wait_s = until - self.region.now()
+                wait_s = answer_at_s - self.region.now()
             else:
                 wait_s = 0.1
             try:
@@ -152,34 +154,39 @@
     def expire_leases(self) -> None:
         if self.down:
             return
-        for lease, (until, _) in list(self.leases.items()):
-            if self.region.now() > until:
+        for lease, (expires_at_s, _) in list(self.leases.items()):
+            if self.region.now() > expires_at_s:
                 del self.leases[lease]
                 self.store.end_lease(lease)
                 self._notify()
 
 
 class Worker:
-    """One machine: boots, reports, fetches images, runs tasks, keeps its lease."""
+    """One machine: boots, reports, fetches images, runs tasks, and ends them without a lease."""
 
-    def __init__(self, region: Simulation, name: str, kind: str, zone: str, spot: bool) -> None:
+    def __init__(
+        self, region: Simulation, name: str, machine_type: str, zone: str, spot: bool
+    ) -> None:
         self.region, self.name = region, name
-        self.machine_type, self.zone, self.spot = kind, zone, spot
+        self.machine_type, self.zone, self.spot = machine_type, zone, spot
         self.address = f"{name}:9000"
-        self.tenure, self.tick, self.epoch = 1, 0, 0
-        # phase, cause, and when the phase ends
+        self.session, self.sequence, self.term = 1, 0, 0
+        # By task and number of the attempt: its phase, when the phase ends, the cause of its exit.
         self.tasks: dict[tuple[str, int], dict] = {}
         self.images: set[str] = set()
-        self.target = region.rng.randrange(len(region.controller_names))
-        self.answered = 0.0
-        self.up = self.gone = self.deaf = self.mute = False
+        # The controller that it reports to.
+        self.controller_index = region.rng.randrange(len(region.controller_names))
+        # When it sent the last report that was answered.
+        self.last_answered_at_s = 0.0
+        # Faults: neither commands nor answers arrive; no report arrives while commands still do.
+        self.up = self.destroyed = self.receives_nothing = self.cannot_report = False
         self.spot_notice_s: float | None = None
         self.kept: list[bytes] = []
         self._changed = asyncio.Event()
-        self._rented_at_s = region.now()
+        self.rented_at_s = region.now()
 
-    def report(self) -> bytes:
-        self.tick += 1
+    def encode_report(self) -> bytes:
+        self.sequence += 1
         rows = [
             {"piece": p, "try": t, "phase": row["phase"], "cause": row.get("cause")}
             for (p, t), row in self.tasks.items()
@@ -190,31 +197,31 @@
             "build": self.machine_type,
             "yard": self.zone,
             "reclaimable": self.spot,
-            "tenure": self.tenure,
-            "tick": self.tick,
-            "epoch": self.epoch,
+            "tenure": self.session,
+            "tick": self.sequence,
+            "epoch": self.term,
             "warning_s": self.spot_notice_s,
             "pieces": rows,
         }
         return json.dumps(body).encode()
 
-    def see_epoch(self, epoch: int) -> None:
-        if epoch > self.epoch:
-            self.epoch = epoch
+    def observe_term(self, term: int) -> None:
+        if term > self.term:
+            self.term = term
             self._changed.set()
 
-    def carry_out(self, orders: list[dict]) -> None:
-        for order in orders:
-            key = (order["piece"], order["try"])
+    def execute_commands(self, commands: list[dict]) -> None:
+        for command in commands:
+            key = (command["piece"], command["try"])
             row = self.tasks.get(key)
-            if order["verb"] == "run" and row is None:
-                self._start(key)
-            elif order["verb"] == "kill" and row is not None:
-                self._stop(key, row, order.get("drain_s") or 0.0)
-            elif order["verb"] == "reap" and row is not None and row["phase"] == "exited":
+            if command["verb"] == "run" and row is None:
+                self._start_task(key)
+            elif command["verb"] == "kill" and row is not None:
+                self._stop_task(key, row, command.get("drain_s") or 0.0)
+            elif command["verb"] == "reap" and row is not None and row["phase"] == "exited":
                 del self.tasks[key]
 
-    def _start(self, key: tuple[str, int]) -> None:
+    def _start_task(self, key: tuple[str, int]) -> None:
         spec = self.region.spec_of(key[0])
         self._changed.set()
         if spec is None:
@@ -225,21 +232,21 @@
             fetch_s = 0.0 if spec.image in self.images else self.region.rng.uniform(0.5, 3.0)
             self.tasks[key] = {"phase": "pulling", "until": self.region.now() + fetch_s}
 
-    def _stop(self, key: tuple[str, int], row: dict, grace_s: float) -> None:
+    def _stop_task(self, key: tuple[str, int], row: dict, grace_s: float) -> None:
         spec = self.region.spec_of(key[0])
         if spec is not None and spec.kind == "group" and row["phase"] != "pulling":
             if row["phase"] != "exited":
                 self.region.gangs.stop(self, key, grace_s)
             return
-        saves = (
+        can_checkpoint = (
             spec is not None
             and spec.checkpoint_interval_s > 0
             and grace_s >= spec.checkpoint_duration_s
         )
-        if saves and row["phase"] == "running":
+        if can_checkpoint and row["phase"] == "running":
             row["phase"], row["until"] = "saving", self.region.now() + spec.checkpoint_duration_s
             self._changed.set()
-        elif not saves or row["phase"] != "saving":
+        elif not can_checkpoint or row["phase"] != "saving":
             self.end_task(key, "stopped")
 
     def notify_changed(self) -> None:
@@ -255,26 +262,26 @@
         self._changed.set()
 
     async def serve(self, method: str, path: str, body: bytes, sender: str) -> tuple[int, bytes]:
-        if self.deaf or not self.up:
+        if self.receives_nothing or not self.up:
             await asyncio.sleep(60.0)
         message = json.loads(body)
-        if message["epoch"] < self.epoch or message["tenure"] != self.tenure:
-            return 409, self.report()
-        self.see_epoch(message["epoch"])
-        self.carry_out(message["orders"])
-        return 200, self.report()
+        if message["epoch"] < self.term or message["tenure"] != self.session:
+            return 409, self.encode_report()
+        self.observe_term(message["epoch"])
+        self.execute_commands(message["orders"])
+        return 200, self.encode_report()
 
     def advance(self) -> None:
-        """What happens by itself: nothing while it hangs."""
+        """Advance leases, image fetches and tasks to the current time, unless the machine hangs."""
         now = self.region.now()
-        if not self.up or self.gone or self.name in self.region.network.hung_hosts:
+        if not self.up or self.destroyed or self.name in self.region.network.hung_hosts:
             return
-        if now - self.answered > LEASE_S:
+        if now - self.last_answered_at_s > LEASE_S:
             for key in list(self.tasks):
                 self.end_task(key, "lease")
             self.tasks.clear()
-            self.tenure += 1
-            self.answered = now
+            self.session += 1
+            self.last_answered_at_s = now
             self._changed.set()
         for key, row in list(self.tasks.items()):
             if row["phase"] == "pulling" and now >= row["until"]:
@@ -287,7 +294,7 @@
                 if spec.kind == "group":
                     row["phase"], row["until"] = "gathering", now + GANG_WAIT_S
             if self.region.spec_of(key[0]).kind == "group":
-                # Its tasks go on together.
+                # SimulatedGangs advances the tasks of a gang, all together.
                 continue
             if row["phase"] == "running" and now >= row["until"]:
                 self.end_task(key, "done")
@@ -297,19 +304,19 @@
     def destroy(self) -> None:
         for key in list(self.tasks):
             self.end_task(key, "gone")
-        self.gone = True
+        self.destroyed = True
         self.region.network.hosts.pop(self.address, None)
 
     async def run(self, boot_s: float) -> None:
         await asyncio.sleep(boot_s)
         self.up = True
-        self.answered = self.region.now()
-        while not self.gone:
+        self.last_answered_at_s = self.region.now()
+        while not self.destroyed:
             await self.region.network.wait_while_hung(self.name)
-            if self.gone:
+            if self.destroyed:
                 return
             self.advance()
-            pause_s = await self._once()
+            pause_s = await self._report_once()
             self._changed.clear()
             await asyncio.sleep(0.5)
             try:
@@ -318,13 +325,17 @@
             except TimeoutError:
                 pass
 
-    async def _once(self) -> float:
+    async def _report_once(self) -> float:
         region = self.region
-        sent, tenure, name = region.now(), self.tenure, region.controller_names[self.target]
-        body = self.report()
+        sent_at_s, session, name = (
+            region.now(),
+            self.session,
+            region.controller_names[self.controller_index],
+        )
+        body = self.encode_report()
         region.maybe_repeat_report(body)
-        if self.mute:
-            self.target = (self.target + 1) % len(region.controller_names)
+        if self.cannot_report:
+            self.controller_index = (self.controller_index + 1) % len(region.controller_names)
             await asyncio.sleep(2.0)
             return 1.0
         try:
@@ -333,18 +344,18 @@
             )
         except (aiohttp.ClientError, TimeoutError, OSError):
             status, answer = 0, b""
-        if self.deaf or self.gone:
+        if self.receives_nothing or self.destroyed:
             return REPORT_S
         if status == 200:
             decoded = json.loads(answer)
-            if decoded["epoch"] >= self.epoch and tenure == self.tenure:
-                self.see_epoch(decoded["epoch"])
-                self.answered = sent
-                self.carry_out(decoded["orders"])
+            if decoded["epoch"] >= self.term and session == self.session:
+                self.observe_term(decoded["epoch"])
+                self.last_answered_at_s = sent_at_s
+                self.execute_commands(decoded["orders"])
             return REPORT_S * region.rng.uniform(0.75, 1.25) - 0.5
         manager = json.loads(answer).get("steward") if status == 421 else None
         if manager in region.controller_names and manager != name:
-            self.target = region.controller_names.index(manager)
+            self.controller_index = region.controller_names.index(manager)
             return 0.0
-        self.target = (self.target + 1) % len(region.controller_names)
+        self.controller_index = (self.controller_index + 1) % len(region.controller_names)
         return 0.5
--- a/tests/simulation.py
+++ b/tests/simulation.py
@@ -1,7 +1,7 @@
-"""A region in virtual time: state service, cloud, workers and users around real controllers.
+"""A simulated region: state service, cloud, workers and users around real controllers.
 
-Each outside part follows its published protocol, troubles included; what the rules forbid is
-noted in ``broken`` as it happens.
+It runs in virtual time. Each outside system follows its published protocol, also in its faults.
+Violations of the scheduler's rules are recorded in ``Simulation.violations`` as they happen.
 """
 
 from __future__ import annotations
@@ -40,16 +40,16 @@
 
 CANCEL_S = 42.0
 DEFAULT_TUNING = Tuning()
-TICK_S = 0.25
+STEP_S = 0.25
 
 
 def min_cores_to_start(job: JobSpec) -> float:
-    """The cores that must be free within a team's limit before any task of a job can start."""
+    """The CPU cores that must be free within the team's limit before any task of a job starts."""
     return job.cpus * (job.tasks if job.kind == "group" else 1)
 
 
 class Simulation:
-    """Everything around the controllers, and the controllers."""
+    """The controllers and the outside systems that they talk to."""
 
     def __init__(
         self,
@@ -68,19 +68,21 @@
         self.addresses = {n: f"{n}:8080" for n in self.controller_names}
         self.controllers: dict[str, tuple[Controller, list[asyncio.Task]]] = {}
         self.workers: dict[str, Worker] = {}
-        self.hires: dict[str, list[str]] = {}
+        self.rentals: dict[str, list[str]] = {}
         self.cloud_down = False
         self.late_report_share = 0.0
-        self.rented = 0
-        # What users know and what the rules are checked on.
+        self.rented_count = 0
+        # What users have submitted and were told, and what runs: the rules are checked on these.
         self.specs: dict[str, JobSpec] = {}
-        self.run_times: dict[str, float] = {}
+        self.run_times_s: dict[str, float] = {}
         self.accepted: set[str] = set()
+        # By job: the last phase that a user was told, and when it changed to that.
         self.reported_phases: dict[str, tuple[str, float]] = {}
         self.withdrawal_requested: set[str] = set()
         self.done_tasks: set[str] = set()
+        # By task: the worker that runs it.
         self.running_on: dict[str, Worker] = {}
-        # When a team last had no room for a task of that many cores within its limit.
+        # By team and a number of cores: when the team's limit last had fewer cores than that left.
         self.last_at_limit_s: dict[tuple[str, float], float] = {}
         self.violations: list[str] = []
         self.counts: Counter[str] = Counter()
@@ -90,16 +92,16 @@
         return self.loop.time()
 
     async def wait_until(self, condition: Callable[[], object], within_s: float = 90.0) -> None:
-        """Wait for something that no message tells of; the caller asserts what it needs."""
-        for _ in range(round(within_s / TICK_S)):
+        """Wait for a condition by polling, and return also on a timeout: the caller asserts."""
+        for _ in range(round(within_s / STEP_S)):
             if condition():
                 return
-            await asyncio.sleep(TICK_S)
+            await asyncio.sleep(STEP_S)
 
-    # The rules.
+    # The scheduler's rules.
 
-    def record_violation(self, rule: str, what: str) -> None:
-        self.violations.append(f"{rule} at {self.now():.1f} s: {what}")
+    def record_violation(self, rule: str, detail: str) -> None:
+        self.violations.append(f"{rule} at {self.now():.1f} s: {detail}")
 
     def spec_of(self, task: str) -> JobSpec | None:
         return self.specs.get(task.partition("/")[0])
@@ -107,7 +109,7 @@
     def draw_run_time_s(self, task: str) -> float:
         if task in self.done_tasks:
             return 0.0
-        return self.run_times[task.partition("/")[0]] * self.rng.uniform(0.4, 1.6)
+        return self.run_times_s[task.partition("/")[0]] * self.rng.uniform(0.4, 1.6)
 
     def on_task_started(self, worker: Worker, task: str) -> None:
         spec = self.spec_of(task)
@@ -117,24 +119,24 @@
                 "ran_twice", f"{task} on {self.running_on[task].name} and {worker.name}"
             )
         self.running_on[task] = worker
-        phase, since = self.reported_phases.get(spec.id, ("", 0.0))
+        phase, since_s = self.reported_phases.get(spec.id, ("", 0.0))
         if phase == "withdrawn":
             self.counts["started_cancelled"] += 1
-            if self.now() - since > CANCEL_S:
+            if self.now() - since_s > CANCEL_S:
                 self.record_violation("ran_cancelled", f"{task} started on {worker.name}")
-        used = sum(
+        used_cpus = sum(
             self.spec_of(t).cpus for t in self.running_on if self.spec_of(t).team == spec.team
         )
-        if 0 < self.teams[spec.team].cpus_max < used:
-            self.record_violation("quota", f"{spec.team} uses {used}")
-        mates = [
+        if 0 < self.teams[spec.team].cpus_max < used_cpus:
+            self.record_violation("quota", f"{spec.team} uses {used_cpus}")
+        sibling_workers = [
             w for t, w in self.running_on.items() if t.partition("/")[0] == spec.id and t != task
         ]
-        if spec.one_zone and any(mate.zone != worker.zone for mate in mates):
+        if spec.one_zone and any(sibling.zone != worker.zone for sibling in sibling_workers):
             self.record_violation("wrong_place", f"{task} in {worker.zone}, others elsewhere")
-        there = sum(1 for mate in mates if mate.zone == worker.zone) + 1
-        if spec.spread and there > -(-spec.tasks // 2):
-            self.record_violation("wrong_place", f"{task}: {there} tasks in {worker.zone}")
+        tasks_in_zone = sum(1 for sibling in sibling_workers if sibling.zone == worker.zone) + 1
+        if spec.spread and tasks_in_zone > -(-spec.tasks // 2):
+            self.record_violation("wrong_place", f"{task}: {tasks_in_zone} tasks in {worker.zone}")
         if (worker.spot and not spec.spot) or (spec.zone or worker.zone) != worker.zone:
             self.record_violation("wrong_place", f"{task} on {worker.name}")
 
@@ -144,11 +146,12 @@
         if cause == "done":
             self.done_tasks.add(task)
 
-    def user_told(self, job_id: str, phase: str, asked: float) -> None:
-        before, since = self.reported_phases.get(job_id, ("", 0.0))
+    def on_phase_reported(self, job_id: str, phase: str, requested_at_s: float) -> None:
+        before, since_s = self.reported_phases.get(job_id, ("", 0.0))
         if before in ("done", "withdrawn") and phase != before:
-            # An answer to what was asked before may be older, unless both are final.
-            if asked > since or phase in ("done", "withdrawn"):
+            # An answer to a request from before the final phase was reported may be out of date,
+            # unless it is another final phase.
+            if requested_at_s > since_s or phase in ("done", "withdrawn"):
                 self.record_violation("went_back", f"{job_id} was {before}, is {phase}")
             return
         if phase == "withdrawn" and job_id not in self.withdrawal_requested:
@@ -161,25 +164,27 @@
             self.counts[phase] += 1
             self.reported_phases[job_id] = (phase, self.now())
 
-    def check(self) -> None:
-        used = Counter(dict.fromkeys(self.teams, 0.0))
+    def check_invariants(self) -> None:
+        used_cpus = Counter(dict.fromkeys(self.teams, 0.0))
         for worker in self.workers.values():
             for (task, _), row in worker.tasks.items():
                 if row["phase"] != "exited":
-                    used[self.spec_of(task).team] += self.spec_of(task).cpus
+                    used_cpus[self.spec_of(task).team] += self.spec_of(task).cpus
         for name, team in self.teams.items():
-            gangs = {min_cores_to_start(s) for s in self.specs.values() if s.kind == "group"}
-            for cpus in {1.0, 2.0} | gangs:
-                if 0 < team.cpus_max < used[name] + cpus:
+            gang_cpus = {min_cores_to_start(s) for s in self.specs.values() if s.kind == "group"}
+            for cpus in {1.0, 2.0} | gang_cpus:
+                if 0 < team.cpus_max < used_cpus[name] + cpus:
                     self.last_at_limit_s[(name, cpus)] = self.now()
         for task, worker in self.running_on.items():
-            phase, since = self.reported_phases.get(task.partition("/")[0], ("", 0.0))
-            if phase == "withdrawn" and self.now() - since > CANCEL_S:
+            phase, since_s = self.reported_phases.get(task.partition("/")[0], ("", 0.0))
+            if phase == "withdrawn" and self.now() - since_s > CANCEL_S:
                 self.record_violation("ran_cancelled", f"{task} still on {worker.name}")
 
     # The cloud.
 
-    async def cloud(self, method: str, path: str, body: bytes, _sender: str) -> tuple[int, bytes]:
+    async def serve_cloud(
+        self, method: str, path: str, body: bytes, _sender: str
+    ) -> tuple[int, bytes]:
         url = urlsplit(path)
         if self.cloud_down:
             return 503, b'{"error":"trouble"}'
@@ -203,29 +208,29 @@
                 "held_s": 1.0,
             }
             for n, w in sorted(self.workers.items())
-            if self.now() - w._rented_at_s > 4.0 and n > parse_qs(url.query).get("after", [""])[0]
+            if self.now() - w.rented_at_s > 4.0 and n > parse_qs(url.query).get("after", [""])[0]
         ]
         return 200, json.dumps({"hosts": hosts, "truncated": False}).encode()
 
     def _rent(self, body: dict) -> list[str]:
-        if body["hire"] not in self.hires:
+        if body["hire"] not in self.rentals:
             names = []
             for _ in range(min(body["how_many"], 24 - len(self.workers))):
-                name = f"vm-{self.rented:06d}"
+                name = f"vm-{self.rented_count:06d}"
                 worker = Worker(self, name, body["build"], body["yard"], body["reclaimable"])
                 self.workers[name] = worker
                 self.network.hosts[worker.address] = (name, worker.serve)
                 self.network.spawn(worker.run(self.rng.uniform(2.0, 4.5)))
-                self.rented += 1
+                self.rented_count += 1
                 names.append(name)
-            self.hires[body["hire"]] = names
-        return self.hires[body["hire"]]
+            self.rentals[body["hire"]] = names
+        return self.rentals[body["hire"]]
 
     def maybe_repeat_report(self, body: bytes) -> None:
         if self.rng.random() < self.late_report_share:
-            self.network.spawn(self._report_again(body))
+            self.network.spawn(self._repeat_report(body))
 
-    async def _report_again(self, body: bytes) -> None:
+    async def _repeat_report(self, body: bytes) -> None:
         await asyncio.sleep(self.rng.choice([2.0, 5.0, LEASE_S + 4.0, 2 * LEASE_S]))
         name = self.rng.choice(self.controller_names)
         if name in self.controllers:
@@ -235,19 +240,19 @@
 
     def start(self) -> None:
         self.network.hosts["state:1"] = ("state", self.state.serve)
-        self.network.hosts["cloud:1"] = ("cloud", self.cloud)
+        self.network.hosts["cloud:1"] = ("cloud", self.serve_cloud)
         for name in self.controller_names:
             self.start_controller(name)
-        self.network.spawn(self._tick())
+        self.network.spawn(self._run_steps())
 
-    async def _tick(self) -> None:
+    async def _run_steps(self) -> None:
         while True:
-            await asyncio.sleep(TICK_S)
+            await asyncio.sleep(STEP_S)
             self.state.expire_leases()
             for worker in list(self.workers.values()):
                 worker.advance()
             self.gangs.advance()
-            self.check()
+            self.check_invariants()
 
     def settings(self, name: str) -> Settings:
         zone = {n: "b" if n == self.controller_names[-1] else "a" for n in self.controller_names}
@@ -271,14 +276,14 @@
 
     def start_controller(self, name: str) -> None:
         if name in self.controllers:
-            # Another trouble has ended, and started, it meanwhile.
+            # Another fault has killed and restarted it in the meantime.
             return
-        session = SimulatedHttp(self.network, name)
+        http = SimulatedHttp(self.network, name)
         rng = random.Random(self.rng.random())
         controller = Controller(
             self.settings(name),
-            session,
-            session,
+            http,
+            http,
             VirtualClock(self.loop, rng),
             rng,  # type: ignore[arg-type]
         )
@@ -289,7 +294,7 @@
         ]
         self.controllers[name] = (controller, tasks)
 
-        async def users(method: str, path: str, body: bytes, _sender: str) -> tuple[int, bytes]:
+        async def serve_api(method: str, path: str, body: bytes, _sender: str) -> tuple[int, bytes]:
             if path == "/v1/report":
                 return controller.manager.answer_report(msgspec.json.decode(body, type=Report))
             if method == "POST" and path == "/api/jobs":
@@ -300,32 +305,34 @@
                 reply = await controller.job_service.poll(path.split("/")[3])
             return reply.status, reply.body
 
-        async def peers(_method: str, path: str, body: bytes, _sender: str) -> tuple[int, bytes]:
-            def decoded(kind: type) -> object:
+        async def serve_peers(
+            _method: str, path: str, body: bytes, _sender: str
+        ) -> tuple[int, bytes]:
+            def decode(kind: type) -> object:
                 return msgspec.msgpack.decode(body, type=kind)
 
             if path == "/offer":
-                answer: object = await controller.owner.receive_offer(decoded(Offer))
+                answer: object = await controller.owner.receive_offer(decode(Offer))
             elif path == "/outcomes":
-                answer = controller.owner.receive_outcomes(decoded(Outcomes))
+                answer = controller.owner.receive_outcomes(decode(Outcomes))
             elif path == "/withdrawn":
-                answer = controller.apply_peer_withdrawals(decoded(Withdrawals))
+                answer = controller.apply_peer_withdrawals(decode(Withdrawals))
             elif path == "/probe":
-                answer = await controller.detector.probe(decoded(str))
+                answer = await controller.detector.probe(decode(str))
             elif path == "/poll":
-                answer = await controller.job_service.poll_for_peer(decoded(str))
+                answer = await controller.job_service.poll_for_peer(decode(str))
             else:
-                answer = controller.peer_status(decoded(Heartbeat | None))
+                answer = controller.peer_status(decode(Heartbeat | None))
             return 200, msgspec.msgpack.encode(answer)
 
-        self.network.hosts[f"{name}:8080"] = (name, users)
-        self.network.hosts[f"{name}:8081"] = (name, peers)
+        self.network.hosts[f"{name}:8080"] = (name, serve_api)
+        self.network.hosts[f"{name}:8081"] = (name, serve_peers)
 
     def kill_controller(self, name: str) -> None:
         self.loop.thaw(name)
         controller, tasks = self.controllers.pop(name)
-        detecting = controller.detector._tasks if controller.detector is not None else ()
-        for task in [*tasks, *controller.manager._tasks, *detecting]:
+        detector_tasks = controller.detector._tasks if controller.detector is not None else ()
+        for task in [*tasks, *controller.manager._tasks, *detector_tasks]:
             task.cancel()
         for port in (8080, 8081):
             self.network.hosts.pop(f"{name}:{port}", None)
@@ -354,15 +361,15 @@
 
     async def submit(self, spec: JobSpec, run_s: float, node: str | None = None) -> bool:
         self.specs.setdefault(spec.id, spec)
-        self.run_times.setdefault(spec.id, run_s)
+        self.run_times_s.setdefault(spec.id, run_s)
         body = msgspec.json.encode(spec)
-        until = self.now() + 60.0
-        while self.now() < until:
-            asked = self.now()
+        give_up_at_s = self.now() + 60.0
+        while self.now() < give_up_at_s:
+            requested_at_s = self.now()
             status, answer = await self.send_user_request("POST", "/api/jobs", body, node)
             if status in (200, 201):
                 self.accepted.add(spec.id)
-                self.user_told(spec.id, answer["phase"], asked)
+                self.on_phase_reported(spec.id, answer["phase"], requested_at_s)
                 return True
             if status in (400, 422):
                 if spec.id in self.accepted:
@@ -372,7 +379,7 @@
         return False
 
     async def poll(self, job_id: str, node: str | None = None) -> str | None:
-        asked = self.now()
+        requested_at_s = self.now()
         status, answer = await self.send_user_request(
             "GET", f"/api/jobs/{job_id}", node=node, timeout_s=2.0
         )
@@ -380,19 +387,19 @@
             self.record_violation("forgotten", f"{job_id}: 404")
         if status != 200:
             return None
-        self.user_told(job_id, answer["phase"], asked)
+        self.on_phase_reported(job_id, answer["phase"], requested_at_s)
         return answer["phase"]
 
     async def withdraw(self, job_id: str, node: str | None = None) -> None:
         self.withdrawal_requested.add(job_id)
-        until = self.now() + 60.0
-        while self.now() < until:
-            asked = self.now()
+        give_up_at_s = self.now() + 60.0
+        while self.now() < give_up_at_s:
+            requested_at_s = self.now()
             status, answer = await self.send_user_request(
                 "POST", f"/api/jobs/{job_id}/withdraw", node=node
             )
             if status == 200:
-                self.user_told(job_id, answer["phase"], asked)
+                self.on_phase_reported(job_id, answer["phase"], requested_at_s)
                 return
             await asyncio.sleep(1.0)
 
--- a/tests/virtual_time.py
+++ b/tests/virtual_time.py
@@ -1,7 +1,7 @@
-"""Time that passes only when nothing else is to be done, and a network in memory.
+"""An event loop in virtual time, and an in-memory network.
 
-The real controllers run on it, so minutes of their life are played in a second or two, and the
-same way every time.
+Time advances only when no callback is ready to run. The real controllers run on this loop, so
+that a test covers minutes of their operation in a second or two, and deterministically.
 """
 
 from __future__ import annotations
@@ -18,19 +18,19 @@
 
 RequestHandler = Callable[[str, str, bytes, str], Awaitable[tuple[int, bytes]]]
 
-# Which process what runs belongs to, so that one alone can stand still.
+# The name of the process that the running code belongs to, so that one process can be frozen.
 CURRENT_PROCESS: contextvars.ContextVar[str] = contextvars.ContextVar("PROCESS", default="")
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """An event loop that never waits: its time jumps to the next timer."""
+    """An event loop that never sleeps: its time jumps to the next timer."""
 
     class _Selector(selectors.SelectSelector):
         loop: VirtualLoop
 
         def select(self, timeout=None):
             if timeout is None:
-                raise RuntimeError("all wait for ever")
+                raise RuntimeError("deadlock: no timer is scheduled and no callback is ready")
             self.loop.now += timeout
             return []
 
@@ -38,7 +38,7 @@
         selector = self._Selector()
         selector.loop = self
         self.now = 0.0
-        # What processes that stand still would have run.
+        # By frozen process: the callbacks that became due, to be run when it is thawed.
         self.frozen_callbacks: dict[str, list[tuple[list, Callable[..., Any], tuple]]] = {}
         super().__init__(selector)
 
@@ -46,11 +46,11 @@
         return self.now
 
     def _unless_frozen(self, handles: list, callback: Callable[..., Any], args: tuple) -> None:
-        waiting = self.frozen_callbacks.get(CURRENT_PROCESS.get())
-        if waiting is None:
+        postponed = self.frozen_callbacks.get(CURRENT_PROCESS.get())
+        if postponed is None:
             callback(*args)
         else:
-            waiting.append((handles, callback, args))
+            postponed.append((handles, callback, args))
 
     def call_soon(self, callback, *args, context=None):
         handles: list = []
@@ -72,55 +72,57 @@
                 super().call_soon(callback, *args, context=handles[0]._context)
 
 
-def run_in_virtual_time(work: Coroutine[Any, Any, None]) -> None:
-    """Run something on virtual time to its end."""
+def run_in_virtual_time(coroutine: Coroutine[Any, Any, None]) -> None:
+    """Run a coroutine to its end in virtual time."""
     with asyncio.Runner(loop_factory=VirtualLoop) as runner:
-        runner.run(work)
+        runner.run(coroutine)
 
 
 class VirtualClock:
-    """A host's own clocks: the steady one drifts, the time of day is off by a bounded amount."""
+    """The clocks of a host: the monotonic clock drifts, the wall clock has a bounded offset."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, rng: random.Random) -> None:
         self._loop = loop
         self._rate = 1.0 + rng.uniform(0.0, 0.0005)
-        self._begun_us = rng.randrange(10**12)
-        self._off_us = rng.randint(-900_000, 900_000)
+        self._start_us = rng.randrange(10**12)
+        self._wall_offset_us = rng.randint(-900_000, 900_000)
 
     def now_us(self) -> int:
-        return self._begun_us + round(self._loop.time() * self._rate * 1e6)
+        return self._start_us + round(self._loop.time() * self._rate * 1e6)
 
     def wall_us(self) -> int:
-        return 1_700_000_000_000_000 + self._off_us + round(self._loop.time() * 1e6)
+        return 1_700_000_000_000_000 + self._wall_offset_us + round(self._loop.time() * 1e6)
 
 
-def refused(reason: OSError | None = None) -> aiohttp.ClientConnectorError:
+def connection_refused(reason: OSError | None = None) -> aiohttp.ClientConnectorError:
     key = SimpleNamespace(host="nowhere", port=0, ssl=True, is_ssl=False)
     error = reason or ConnectionRefusedError("refused")
     return aiohttp.ClientConnectorError(key, error)  # type: ignore[arg-type]
 
 
 class Network:
-    """Hosts by address, and what keeps them apart."""
+    """Delivers requests between hosts, with the faults that a test has set."""
 
     def __init__(self, rng: random.Random) -> None:
         self.rng = rng
+        # By address: the host's name and its request handler.
         self.hosts: dict[str, tuple[str, RequestHandler]] = {}
-        # Pairs of hosts, from and to, between which connections are refused, or all is held back.
+        # (sender, receiver) pairs whose connections are refused.
         self.refused_pairs: set[tuple[str, str]] = set()
+        # (sender, receiver) pairs whose messages are delayed until the event is set.
         self.held_pairs: dict[tuple[str, str], asyncio.Event] = {}
-        # Hosts that stand still: what reaches them waits, and they send nothing.
+        # Hosts that hang until the event is set: messages to them wait, and they send nothing.
         self.hung_hosts: dict[str, asyncio.Event] = {}
         self.extra_delay_s: dict[str, float] = {}
         self._tasks: set[asyncio.Task[Any]] = set()
 
-    def spawn(self, work: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
-        task = asyncio.ensure_future(work)
+    def spawn(self, coroutine: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
+        task = asyncio.ensure_future(coroutine)
         self._tasks.add(task)
-        task.add_done_callback(self._done)
+        task.add_done_callback(self._on_task_done)
         return task
 
-    def _done(self, task: asyncio.Task[Any]) -> None:
+    def _on_task_done(self, task: asyncio.Task[Any]) -> None:
         self._tasks.discard(task)
         if not task.cancelled():
             task.exception()
@@ -129,22 +131,22 @@
         while host in self.hung_hosts:
             await self.hung_hosts[host].wait()
 
-    async def _pass(self, sender: str, receiver: str) -> None:
+    async def _delay(self, sender: str, receiver: str) -> None:
         while (sender, receiver) in self.held_pairs:
             await self.held_pairs[(sender, receiver)].wait()
         await asyncio.sleep(self.rng.uniform(0.0005, 0.003) + self.extra_delay_s.get(receiver, 0.0))
         await self.wait_while_hung(receiver)
 
-    async def _carry(
+    async def _deliver(
         self, sender: str, address: str, method: str, path: str, body: bytes
     ) -> tuple[int, bytes]:
-        """A request's way there and its answer's way back; goes on when the sender gives up."""
+        """Deliver a request and its answer; goes on even if the sender has timed out."""
         name, _ = self.hosts[address]
-        await self._pass(sender, name)
+        await self._delay(sender, name)
         if address not in self.hosts:
             raise aiohttp.ServerDisconnectedError
         answer = await self.hosts[address][1](method, path, body, sender)
-        await self._pass(name, sender)
+        await self._delay(name, sender)
         if address not in self.hosts:
             raise aiohttp.ServerDisconnectedError
         return answer
@@ -157,16 +159,17 @@
             await self.wait_while_hung(sender)
             if address not in self.hosts:
                 await asyncio.sleep(0.001)
-                raise refused()
+                raise connection_refused()
             name = self.hosts[address][0]
             if (sender, name) in self.refused_pairs:
-                raise refused()
+                raise connection_refused()
             if (sender, name) in self.held_pairs and self.rng.random() < 0.5:
-                # No connection comes about; what was sent on an open one is held back instead.
+                # The connection attempt times out. In the other half of the cases the request
+                # goes out on an open connection and is delayed.
                 await asyncio.sleep(min(1.0, timeout_s / 2))
-                raise refused(OSError("timed out"))
-            work = self._carry(sender, address, method, "/" + path, body)
-            return await asyncio.shield(self.spawn(work))
+                raise connection_refused(OSError("timed out"))
+            request = self._deliver(sender, address, method, "/" + path, body)
+            return await asyncio.shield(self.spawn(request))
 
 
 class _Response:
@@ -177,26 +180,26 @@
         return self._body
 
 
-class _Exchange:
-    def __init__(self, work: Coroutine[Any, Any, tuple[int, bytes]]) -> None:
-        self._work = work
+class _RequestContext:
+    def __init__(self, request: Coroutine[Any, Any, tuple[int, bytes]]) -> None:
+        self._request = request
 
     async def __aenter__(self) -> _Response:
-        return _Response(*await self._work)
+        return _Response(*await self._request)
 
     async def __aexit__(self, *_: object) -> None:
         return None
 
 
 class SimulatedHttp:
-    """What mosswalk uses of aiohttp's client, for one host."""
+    """The part of aiohttp's client session that mosswalk uses, for one host."""
 
     def __init__(self, network: Network, host: str) -> None:
         self._network, self._host = network, host
 
-    def request(self, method, url, data=None, timeout=None, headers=None) -> _Exchange:
+    def request(self, method, url, data=None, timeout=None, headers=None) -> _RequestContext:
         total_s = timeout.total if timeout is not None else 30.0
-        return _Exchange(self._network.call(self._host, method, url, data or b"", total_s))
+        return _RequestContext(self._network.call(self._host, method, url, data or b"", total_s))
 
-    def post(self, url, **options) -> _Exchange:
+    def post(self, url, **options) -> _RequestContext:
         return self.request("POST", url, **options)
