--- a/tests/test_cloud.py
+++ b/tests/test_cloud.py
@@ -1,4 +1,7 @@
-"""The cloud's caller: what was decided before a pause is not carried out after it."""
+"""The cloud caller: decisions from before a pause are not carried out after it.
+
+A leader that was paused may have been deposed, so authority is checked right before each call.
+"""
 
 import asyncio
 import random
@@ -7,7 +10,7 @@
 from mosswalk.cloud.actor import CloudCaller, ReleaseResult, RentResult
 
 
-class Cloud:
+class RecordingCloud:
     def __init__(self):
         self.calls = []
 
@@ -19,63 +22,64 @@
         self.calls.append(names)
 
 
-def test_a_leader_that_stood_still_neither_rents_nor_releases_what_it_had_decided():
+def test_leader_without_authority_neither_rents_nor_releases():
     async def run():
-        cloud, told, entitled = Cloud(), [], True
+        cloud, results, may_act = RecordingCloud(), [], True
         caller = CloudCaller(
             cloud,
             SystemClock(),
             random.Random(1),
             1000.0,
-            told.append,
-            lambda: entitled,
+            results.append,
+            lambda: may_act,
             lambda: True,
         )
-        work = asyncio.create_task(caller.run_releases())
-        entitled = False
+        release_loop = asyncio.create_task(caller.run_releases())
+        may_act = False
         caller.release(["vm-1"])
         await caller.rent((1, 2), ("small", "a", False))
         await asyncio.sleep(0.05)
-        # The factory must not count them as requested for ever.
-        assert cloud.calls == [] and told == [RentResult((1, 2), ("small", "a", False), ())]
-        # It leads on after all: what is to be released still is.
-        entitled = True
+        # The result goes out although nothing was rented: else the factory would count the
+        # machines as requested for ever.
+        assert cloud.calls == [] and results == [RentResult((1, 2), ("small", "a", False), ())]
+        # The leader's authority returns: the pending release is made.
+        may_act = True
         await asyncio.sleep(0.6)
-        assert cloud.calls == [("vm-1",)] and told[1:] == [ReleaseResult(("vm-1",))]
-        entitled = False
+        assert cloud.calls == [("vm-1",)] and results[1:] == [ReleaseResult(("vm-1",))]
+        may_act = False
         caller.release(["vm-2"])
         await asyncio.sleep(0.05)
         caller.clear_pending_releases()
-        entitled = True
+        may_act = True
         await asyncio.sleep(0.6)
         assert cloud.calls == [("vm-1",)]
-        work.cancel()
+        release_loop.cancel()
 
     asyncio.run(run())
 
 
-def test_machines_that_hold_withdrawn_tasks_are_released_without_the_state_service():
+def test_machines_with_withdrawn_tasks_are_released_without_state_service():
     async def run():
-        cloud, told, may_end = Cloud(), [], True
+        cloud, results, may_release_without_state_service = RecordingCloud(), [], True
         caller = CloudCaller(
             cloud,
             SystemClock(),
             random.Random(1),
             1000.0,
-            told.append,
+            results.append,
             lambda: False,
-            lambda: may_end,
+            lambda: may_release_without_state_service,
         )
-        work = asyncio.create_task(caller.run_releases())
+        release_loop = asyncio.create_task(caller.run_releases())
         caller.release(["vm-1", "vm-2"])
         caller.release(["vm-1"], requires_state_service=False)
         await asyncio.sleep(0.6)
-        assert cloud.calls == [("vm-1",)] and told == [ReleaseResult(("vm-1",))]
-        # But not by one whose time to lead without it is over.
-        may_end = False
+        assert cloud.calls == [("vm-1",)] and results == [ReleaseResult(("vm-1",))]
+        # Not so once the leader's time to act without the state service is over.
+        may_release_without_state_service = False
         caller.release(["vm-3"], requires_state_service=False)
         await asyncio.sleep(0.6)
         assert cloud.calls == [("vm-1",)]
-        work.cancel()
+        release_loop.cancel()
 
     asyncio.run(run())
--- a/tests/test_desk.py
+++ b/tests/test_desk.py
@@ -1,4 +1,4 @@
-"""What users are told when more is submitted than can be written."""
+"""Answers to submissions when more jobs are submitted than can be written."""
 
 import asyncio
 import random
@@ -15,12 +15,12 @@
 from tests.test_config import write_settings
 
 
-def test_a_submission_that_would_wait_for_nothing_is_told_so_at_once(tmp_path):
+def test_submission_is_refused_at_once_when_write_queue_is_too_long(tmp_path):
     async def run():
         settings, clock, rng = load(write_settings(tmp_path)), SystemClock(), random.Random(1)
         client = FakeStateClient(InMemoryStore())
         mirror = Mirror(client, clock, rng)
-        # Nobody empties its queue, at 10 writes a second.
+        # At 10 writes a second; its loop, which would empty the queue, isn't running yet.
         writer = GroupWriter(client, clock, rng, 10.0, 4)
         job_service = JobService(settings, client, mirror, writer, clock, rng)
         job_service._on_machine_types("", records.encode([machine_type()]), 1)
@@ -34,11 +34,11 @@
         assert not any(task.done() for task in queued)
         reply = await submit(99)
         assert reply.status == 503 and 1 <= reply.retry_after_s <= 3
-        loop = asyncio.create_task(writer.run())
+        writer_loop = asyncio.create_task(writer.run())
         assert [reply.status for reply in await asyncio.gather(*queued)] == [201] * 13
-        # One that is known is not turned down, however long others wait.
+        # A job that was accepted before is not refused, however long the queue is.
         writer.estimated_wait_s = lambda: 9.0
         assert (await submit(0)).status == 200
-        loop.cancel()
+        writer_loop.cancel()
 
     asyncio.run(run())
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -1,4 +1,7 @@
-"""A controller that stands still in an election, or while it hands over, changes nothing."""
+"""Elections and handovers in which a controller's process is frozen at a critical point.
+
+A frozen controller resumes with an outdated view, and must not take the lead from another.
+"""
 
 import asyncio
 import contextlib
@@ -15,8 +18,8 @@
 from tests.test_config import write_settings
 
 
-class Node:
-    """One controller's leadership, on a store that it shares with others."""
+class Candidate:
+    """The leadership of a controller, on a store that it shares with the others."""
 
     def __init__(self, settings, store, clock, name):
         self.client = FakeStateClient(store)
@@ -30,85 +33,86 @@
         )
         self.leadership.lease = store.grant()
 
-    async def see(self):
+    async def update_mirror(self):
         if not self.mirror.loaded:
             await self.mirror._load()
         await self.mirror._follow()
 
-    async def stand(self):
+    async def campaign(self):
         task = asyncio.create_task(self.leadership._campaign("test"))
         for _ in range(3):
             await asyncio.sleep(0)
-        await self.see()
+        await self.update_mirror()
         await task
 
 
-def pair(tmp_path):
+def make_candidates(tmp_path):
     store, clock, settings = InMemoryStore(), FakeClock(), load(write_settings(tmp_path))
-    return [Node(settings, store, clock, name) for name in ("moss-0", "moss-1")]
+    return [Candidate(settings, store, clock, name) for name in ("moss-0", "moss-1")]
 
 
-def test_one_that_stood_still_while_it_stood_does_not_lead(tmp_path):
+def test_candidate_frozen_during_campaign_does_not_lead(tmp_path):
     async def run():
-        slow, other = pair(tmp_path)
-        for node in (slow, other):
-            await node.see()
-        # Its request is on its way when it stops; another is elected, and then it arrives.
-        slow.client.planned_results.append("late")
+        frozen, other = make_candidates(tmp_path)
+        for node in (frozen, other):
+            await node.update_mirror()
+        # It is frozen while its transaction is in flight; another controller is elected before
+        # the transaction arrives.
+        frozen.client.planned_results.append("late")
         with pytest.raises(UnknownOutcomeError):
-            await slow.leadership._campaign("nobody leads")
-        await other.stand()
-        slow.client.commit_delayed()
+            await frozen.leadership._campaign("nobody leads")
+        await other.campaign()
+        frozen.client.commit_delayed()
         assert other.leadership.leads()
-        # It goes on with what it saw before, and asks once more.
+        # It resumes with its outdated mirror, and campaigns again.
         with pytest.raises(ConflictError):
-            await slow.leadership._campaign("nobody leads")
-        await slow.see()
-        await other.see()
-        assert other.leadership.leads() and not slow.leadership.leads()
-        assert slow.leadership.term_number() == other.leadership.term_number() == 1
+            await frozen.leadership._campaign("nobody leads")
+        await frozen.update_mirror()
+        await other.update_mirror()
+        assert other.leadership.leads() and not frozen.leadership.leads()
+        assert frozen.leadership.term_number() == other.leadership.term_number() == 1
 
     asyncio.run(run())
 
 
-def test_one_that_stood_still_while_handing_over_does_not_unseat_the_next_leader(tmp_path):
+def test_leader_frozen_during_handover_does_not_depose_next_leader(tmp_path):
     async def run():
-        slow, other = pair(tmp_path)
-        for node in (slow, other):
-            await node.see()
-        await slow.stand()
-        await other.see()
-        slow.leadership.hand_over()
-        # It stops there, its lease ends, and another leads.
-        slow.client.store.end_lease(slow.leadership.lease)
-        await other.see()
-        await other.stand()
-        assert slow.leadership.leads() and other.leadership.leads()
+        frozen, other = make_candidates(tmp_path)
+        for node in (frozen, other):
+            await node.update_mirror()
+        await frozen.campaign()
+        await other.update_mirror()
+        frozen.leadership.hand_over()
+        # It is frozen here; its lease ends, and another controller takes the lead.
+        frozen.client.store.end_lease(frozen.leadership.lease)
+        await other.update_mirror()
+        await other.campaign()
+        assert frozen.leadership.leads() and other.leadership.leads()
         with contextlib.suppress(ConflictError):
-            await slow.leadership._review_term()
-        for node in (slow, other):
-            await node.see()
-        assert other.leadership.leads() and not slow.leadership.leads()
+            await frozen.leadership._review_term()
+        for node in (frozen, other):
+            await node.update_mirror()
+        assert other.leadership.leads() and not frozen.leadership.leads()
         assert other.leadership.term_number() == 2
 
     asyncio.run(run())
 
 
-def test_one_that_hands_over_frees_the_key_and_does_not_stand_at_once(tmp_path):
+def test_handover_frees_leader_key_and_delays_own_campaign(tmp_path):
     async def run():
-        first, other = pair(tmp_path)
+        first, other = make_candidates(tmp_path)
         for node in (first, other):
-            await node.see()
-        await first.stand()
+            await node.update_mirror()
+        await first.campaign()
         first.leadership.hand_over()
         await first.leadership._review_term()
-        await first.see()
+        await first.update_mirror()
         assert not first.leadership.leads()
         commits = first.client.commit_count
         await first.leadership._review_term()
         assert first.client.commit_count == commits
-        await other.see()
-        await other.stand()
+        await other.update_mirror()
+        await other.campaign()
         assert other.leadership.leads() and other.leadership.term_number() == 2
 
     asyncio.run(run())
