--- a/tests/fault_injection.py
+++ b/tests/fault_injection.py
@@ -116,12 +116,14 @@
 
 
 async def _machines_cut(region: Simulation, fault: Fault) -> None:
+    """Hold all messages between half of the machines and the controllers."""
     names = sorted(region.workers)[fault.selector % 2 :: 2]
     pairs = {(n, c) for n in names for c in region.controller_names}
     await _hold_pairs(region, fault, pairs | {(c, n) for n, c in pairs})
 
 
 async def _leader_without_workers(region: Simulation, fault: Fault) -> None:
+    """Connections between a controller, mostly the leader, and all workers are refused."""
     name = _choose_controller(region, fault.selector)
     pairs = {(name, w) for w in region.workers} | {(w, name) for w in region.workers}
     region.network.refused_pairs |= pairs
@@ -230,6 +232,7 @@
 
 
 async def _machines_not_reporting(region: Simulation, fault: Fault) -> None:
+    """Machines can't open a connection to any controller, while direct commands reach them."""
     await _set_worker_flag(region, fault, "cannot_report", _choose_machines(region, fault.selector))
 
 
@@ -313,6 +316,7 @@
 
 
 async def _odd_requests(region: Simulation, fault: Fault) -> None:
+    """Users submit known jobs again, and send requests that must be refused."""
     end_at_s = region.now() + fault.duration_s
     while region.now() < end_at_s:
         await asyncio.sleep(1.0)
--- a/tests/simulated_services.py
+++ b/tests/simulated_services.py
@@ -28,7 +28,7 @@
     def __init__(self, region: Simulation) -> None:
         self.region = region
         self.store = InMemoryStore()
-        # By lease: when it expires, and its time to live.
+        # By lease: when it expires, and its time to live, in seconds.
         self.leases: dict[int, tuple[float, float]] = {}
         self._up = asyncio.Event()
         self._up.set()
@@ -162,7 +162,7 @@
 
 
 class Worker:
-    """One machine: boots, reports, fetches images, runs tasks, and ends them without a lease."""
+    """One machine: boots, reports, fetches images, and runs tasks for as long as it has a lease."""
 
     def __init__(
         self, region: Simulation, name: str, machine_type: str, zone: str, spot: bool
@@ -178,7 +178,8 @@
         self.controller_index = region.rng.randrange(len(region.controller_names))
         # When it sent the last report that was answered.
         self.last_answered_at_s = 0.0
-        # Faults: neither commands nor answers arrive; no report arrives while commands still do.
+        # Two faults. receives_nothing: neither commands nor answers arrive. cannot_report: no
+        # report gets out, while commands still arrive.
         self.up = self.destroyed = self.receives_nothing = self.cannot_report = False
         self.spot_notice_s: float | None = None
         self.kept: list[bytes] = []
--- a/tests/simulation.py
+++ b/tests/simulation.py
@@ -68,8 +68,10 @@
         self.addresses = {n: f"{n}:8080" for n in self.controller_names}
         self.controllers: dict[str, tuple[Controller, list[asyncio.Task]]] = {}
         self.workers: dict[str, Worker] = {}
+        # By the request's id: the machines rented.
         self.rentals: dict[str, list[str]] = {}
         self.cloud_down = False
+        # The share of reports of which a second copy arrives late.
         self.late_report_share = 0.0
         self.rented_count = 0
         # What users have submitted and were told, and what runs: the rules are checked on these.
--- a/tests/test_cloud.py
+++ b/tests/test_cloud.py
@@ -75,7 +75,7 @@
         caller.release(["vm-1"], requires_state_service=False)
         await asyncio.sleep(0.6)
         assert cloud.calls == [("vm-1",)] and results == [ReleaseResult(("vm-1",))]
-        # Not so once the leader's time to act without the state service is over.
+        # No longer once the leader's time to act without the state service is over.
         may_release_without_state_service = False
         caller.release(["vm-3"], requires_state_service=False)
         await asyncio.sleep(0.6)
