--- a/mosswalk/config/operator.py
+++ b/mosswalk/config/operator.py
@@ -21,19 +21,26 @@
 
 
 class FactoryTuning(Struct, frozen=True):
-    """Parameters of the VM factory (in the paper: tau, mu, nu, k, lambda)."""
+    """Parameters of the VM factory (in the CBRAIN paper: tau, mu, nu, k, lambda)."""
 
+    # The interval of the control loop.
     period_s: float = 0.5
+    # Machines of a type are rented once its load ratio has been above ``load_high``, or tasks have
+    # fitted nowhere, for ``high_dwell_s``. They are released once the ratio has been below
+    # ``load_low`` for ``low_dwell_s``.
     load_high: float = 1.02
     load_low: float = 0.95
     high_dwell_s: float = 0.5
     low_dwell_s: float = 4.0
+    # How many machines of a type are rented or released at most in one iteration of the loop.
     most_rented: int = 50
     most_returned: int = 2
+    # The weight (lambda) of the time against the cost of a rental, from 0 to 1.
     weight_of_time: float = 0.3
-    # No limit in practice: a rental is bounded by the waiting tasks, and a pool by the cloud's
-    # refusals.
+    # The maximum number of machines in a pool. No limit in practice: a rental is bounded by the
+    # waiting tasks, and a pool by the cloud's refusals.
     pool_cap: int = 100_000
+    # A machine that is up is released only after it has been idle for this long.
     idle_keep_s: float = 3.0
     # If no spot machine is available for tasks that may use one, an on-demand machine is rented in
     # time to be up once they have waited this long.
@@ -46,8 +53,11 @@
 class FleetTuning(Struct, frozen=True):
     """When machines are considered silent, unhealthy or overdue in booting."""
 
+    # A machine is silent if it has not reported for this many report intervals.
     silent_reports: float = 3.5
+    # A machine is unhealthy after this many failed tasks in a row.
     errors_to_distrust: int = 2
+    # A machine is overdue if it has not booted within this many times its type's boot time.
     boot_patience: float = 4.0
 
 
--- a/mosswalk/factory/__init__.py
+++ b/mosswalk/factory/__init__.py
@@ -1,1 +1,1 @@
-"""The VM factory of the paper: load ratio, dwell, Pareto set, what to rent and to release."""
+"""The VM factory of the CBRAIN paper: load ratio, dwell, Pareto set, rentals and releases."""
--- a/mosswalk/factory/attribution.py
+++ b/mosswalk/factory/attribution.py
@@ -1,7 +1,7 @@
 """Assigns each waiting task to one machine type.
 
-The paper has one machine type per image. Here a task fits several types, and counting it in the
-load of each of them would rent machines for it several times over.
+The CBRAIN paper has one machine type per image. Here a task fits several types, and counting it in
+the load of each of them would rent machines for it several times over.
 """
 
 from __future__ import annotations
--- a/mosswalk/factory/consolidate.py
+++ b/mosswalk/factory/consolidate.py
@@ -1,9 +1,9 @@
 """Which machine's replicas to move elsewhere so that the machine can be released.
 
-The paper's machines become idle when load drops, and Algorithm 2 removes idle ones. Replicas never
-end by themselves: a few of them left on a machine after a burst keep all of it rented until their
-services end. Moving a replica interrupts its service for about a second, so few are moved at once,
-and only to machines that have their image cached or can fetch it quickly.
+In the CBRAIN paper, machines become idle when load drops, and Algorithm 2 removes idle ones.
+Replicas never end by themselves: a few of them left on a machine after a burst keep all of it
+rented until their services end. Moving a replica interrupts its service for about a second, so few
+are moved at once, and only to machines that have their image cached or can fetch it quickly.
 """
 
 from __future__ import annotations
--- a/mosswalk/factory/cordon.py
+++ b/mosswalk/factory/cordon.py
@@ -1,8 +1,8 @@
 """Which machines to cordon, so that they drain and can be released.
 
-The paper's machines become idle when load drops. Here small tasks keep arriving on machines that
-are mostly empty, so none of these stays idle for long and none is released. A cordoned machine
-takes tasks only if nothing else fits; the release itself follows the paper.
+In the CBRAIN paper, machines become idle when load drops. Here small tasks keep arriving on
+machines that are mostly empty, so none of these stays idle for long and none is released. A
+cordoned machine takes tasks only if nothing else fits; the release itself follows the paper.
 """
 
 from __future__ import annotations
--- a/mosswalk/factory/load.py
+++ b/mosswalk/factory/load.py
@@ -1,4 +1,4 @@
-"""The load ratio and its dwell rule (paper, Algorithm 1)."""
+"""The load ratio and its dwell rule (CBRAIN paper, Algorithm 1)."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def load_ratio(demand: float, machines: int) -> float:
-    """Return the load ratio L of the paper: demand over capacity, both in whole machines."""
+    """Return the load ratio L of the CBRAIN paper: demand over capacity, both in whole machines."""
     if machines > 0:
         return demand / machines
     return float("inf") if demand > 0 else 0.0
--- a/mosswalk/factory/loop.py
+++ b/mosswalk/factory/loop.py
@@ -1,7 +1,7 @@
-"""The VM factory: one control loop per machine type (paper, Algorithms 1 and 2).
+"""The VM factory: one control loop per machine type (CBRAIN paper, Algorithms 1 and 2).
 
 A state machine without I/O: the leader passes it a view of the machines and the tasks, and carries
-out its decisions. docs/design.md lists the differences from the paper.
+out its decisions. docs/design.md lists the differences from the CBRAIN paper.
 """
 
 from __future__ import annotations
--- a/mosswalk/factory/pareto.py
+++ b/mosswalk/factory/pareto.py
@@ -1,4 +1,4 @@
-"""The Pareto set of pool choices (paper, Algorithms 3 and 4; section IV-B).
+"""The Pareto set of pool choices (CBRAIN paper, Algorithms 3 and 4; section IV-B).
 
 A pool is the spot or the on-demand machines of one type in one zone. All durations are in
 microseconds; prices are per hour and only compared with one another.
@@ -14,21 +14,30 @@
 
 
 class PoolEstimate(Struct, frozen=True):
-    """Price and times of a pool: alpha, q, b and phi of the paper."""
+    """Price and times of a pool; the letters are those of the CBRAIN paper."""
 
+    # Machine type, zone and whether it is the pool of spot machines.
     pool: tuple[str, str, bool]
+    # Alpha: the price per hour.
     price: float
+    # q: the time from the request for a machine until the cloud grants it.
     queue_us: float
+    # b: the time from then until the machine is up.
     boot_us: float
+    # Phi: the factor by which a task takes longer there than estimated.
     slowdown: float = 1.0
 
     def delay_us(self) -> float:
-        """Return the expected time until a machine is up: q + b of the paper."""
+        """Return the expected time from the request for a machine until it is up: q + b."""
         return self.queue_us + self.boot_us
 
 
 class Action(Struct, frozen=True):
-    """A set of pools with its round-trip time r and its cost c."""
+    """A choice of pools, in each of which a machine is requested.
+
+    ``time_us`` is the round-trip time r of the CBRAIN paper, from the request to the end of a task;
+    ``cost`` is its cost c.
+    """
 
     time_us: float
     cost: float
@@ -36,7 +45,7 @@
 
 
 def evaluate(pools: Sequence[PoolEstimate], walltime_us: float) -> Action:
-    """Procedure ActionExecutionTimeAndCost."""
+    """Estimate time and cost of a set of pools: procedure ActionExecutionTimeAndCost."""
     fastest = min(pools, key=lambda p: (p.delay_us(), p.price, p.pool))
     work_us = fastest.slowdown * walltime_us
     cost = fastest.price * (fastest.boot_us + work_us)
@@ -49,14 +58,17 @@
 
 
 def dominates(a: Action, b: Action) -> bool:
-    """Procedure Dominate."""
+    """Return whether ``a`` is at least as good as ``b`` in both, better in one: Dominate."""
     return (
         a.time_us <= b.time_us and a.cost <= b.cost and (a.time_us, a.cost) != (b.time_us, b.cost)
     )
 
 
 def add_to_front(front: list[Action], action: Action) -> list[Action]:
-    """Procedure AddToParetoSet."""
+    """Return the front with an action, less those that it dominates: AddToParetoSet.
+
+    If another action dominates the new one, the front is returned unchanged.
+    """
     new_front = [action]
     for other in front:
         if dominates(other, action):
@@ -67,7 +79,7 @@
 
 
 def pareto_front(pools: Iterable[PoolEstimate], walltime_us: float) -> list[Action]:
-    """Procedure ParetoSet over every non-empty set of pools."""
+    """Return the Pareto front of every non-empty set of pools: procedure ParetoSet."""
     choices = sorted(pools, key=lambda p: p.pool)
     front: list[Action] = []
     for size in range(1, len(choices) + 1):
@@ -98,5 +110,9 @@
 
 
 def pools_within_call_limit(action: Action, calls: int) -> tuple[PoolEstimate, ...]:
-    """Limit an action to its best pools by q + b if cloud calls are scarce (see docs/design.md)."""
+    """Return the pools of an action with the shortest delay, at most ``calls`` of them.
+
+    ``calls`` is the number of pools in which a machine can be requested now: each takes a call to
+    the cloud, whose rate is limited (see docs/design.md).
+    """
     return tuple(sorted(action.pools, key=lambda p: (p.delay_us(), p.pool))[: max(0, calls)])
--- a/mosswalk/factory/pools.py
+++ b/mosswalk/factory/pools.py
@@ -20,7 +20,7 @@
 
 
 class PoolState(Struct):
-    """The last measured times of a pool (paper, section IV-C), and its refusals in a row."""
+    """The last measured times of a pool (CBRAIN paper, section IV-C), and its refusals in a row."""
 
     queue_us: float | None = None
     boot_us: float | None = None
@@ -41,13 +41,13 @@
         return self._pools.setdefault(pool, PoolState())
 
     def on_rental_requested(self, pool: Pool, now_us: int) -> None:
-        """Record that a machine is requested; q of the paper counts from the first request on."""
+        """Record that a machine is requested; the queue time counts from the first request on."""
         state = self.state(pool)
         if state.requested_since_us is None:
             state.requested_since_us = now_us
 
     def on_rental_granted(self, pool: Pool, now_us: int) -> None:
-        """Record a granted rental: q of the paper is the time since the first request."""
+        """Record a granted rental: the queue time, q of the CBRAIN paper, ends now."""
         state = self.state(pool)
         if state.requested_since_us is not None:
             state.queue_us = float(now_us - state.requested_since_us)
@@ -62,7 +62,7 @@
         state.refused_until_us = now_us + min(_MAX_REFUSAL_DELAY_US, delay_us)
 
     def on_machine_booted(self, pool: Pool, boot_us: int) -> None:
-        """Record how long a machine took to be up: b of the paper."""
+        """Record how long a machine took to boot: b of the CBRAIN paper."""
         self.state(pool).boot_us = float(boot_us)
 
     def is_below_cap(self, pool: Pool, machines: int) -> bool:
