--- a/mosswalk/config/__init__.py
+++ b/mosswalk/config/__init__.py
@@ -18,12 +18,14 @@
 
 __all__ = ["Settings", "SettingsError", "Tuning", "load"]
 
-# The operators' file is named by this environment variable; otherwise it is the platform's path
-# with this suffix, if that exists.
+# The environment variable with the path of the operators' file.
 OPERATOR_FILE_VARIABLE = "MOSSWALK_HCL"
+# If the variable is not set, the operators' file is the one beside the platform's file with the
+# same name and this suffix, if it exists.
 OPERATOR_SUFFIX = ".hcl"
 
-# Ending a job takes two writes in one transaction.
+# The lowest ``txn_ops`` that is accepted. A job ends in one transaction of two writes: its final
+# record is put and its record deleted.
 _MIN_TXN_OPS = 2
 
 
@@ -47,7 +49,11 @@
 
 
 class Team(Struct, frozen=True):
-    """A team's guaranteed and maximum resources; a maximum of 0 means no limit."""
+    """A team's guaranteed and maximum resources.
+
+    ``cpus`` and ``gpus`` are guaranteed, ``cpus_max`` and ``gpus_max`` are limits; a limit of 0
+    means that there is none.
+    """
 
     name: str
     cpus: float = 0.0
@@ -57,23 +63,29 @@
 
 
 class Objective(Struct, frozen=True):
-    """A service level objective, optionally for one job class only."""
+    """A service level objective. Only those with a job class and ``within_s`` are used."""
 
+    # "wait" limits the time from submission until a job starts, "finished" that until it is done.
+    # Other kinds are ignored.
     kind: str
     job_class: str | None = msgspec.field(name="class", default=None)
     within_s: float | None = None
+    # Not used.
     share: float | None = None
 
 
 class WorkerLimits(Struct, frozen=True):
     """Intervals and time limits of workers."""
 
+    # The interval between a worker's reports.
     report_s: float
+    # A worker's tasks end this long after it sent the last report that was answered.
     lease_s: float
+    # By this time after a job was withdrawn, all its tasks must have ended.
     cancel_s: float
-    # How long a task of a gang waits for the others to start, and how soon it notices that one of
-    # them no longer runs.
+    # How long a task of a gang waits for the others to start.
     gang_wait_s: float = 60.0
+    # How soon a task of a gang notices that another one no longer runs.
     gang_peer_s: float = 5.0
 
 
@@ -98,7 +110,8 @@
     def lowest(self) -> StateLimits:
         """The lower of the current and the next value of each limit.
 
-        They are respected whether or not the next ones apply already.
+        Requests within these are accepted both before and after the service adopts the next values,
+        at a time that this controller does not learn.
         """
         if self.next is None:
             return self
@@ -126,12 +139,14 @@
 
 
 class Params(Struct, frozen=True):
-    """Parameters of the deployment."""
+    """Parameters of the deployment: zones, limits of workers and services, teams, objectives."""
 
     zones: tuple[str, ...]
     workers: WorkerLimits
+    # Limits of the state service and of the cloud.
     state: StateLimits
     cloud: CloudLimits
+    # Accepted in the settings file, but not used.
     time_bound_ms: float = 1000.0
     teams: tuple[Team, ...] = ()
     objectives: tuple[Objective, ...] = ()
@@ -227,7 +242,7 @@
 
 
 def _with_lowest_state_limits(settings: Settings) -> Settings:
-    """Replace each limit of the state service by the lower of its current and next value."""
+    """Replace the state service's limits by values that hold before and after they change."""
     state = settings.params.state.lowest()
     params = msgspec.structs.replace(settings.params, state=state)
     return msgspec.structs.replace(settings, params=params)
