--- a/mosswalk/fleet/consolidating.py
+++ b/mosswalk/fleet/consolidating.py
@@ -19,8 +19,8 @@
 _MIN_RUN_US = 60 * SECOND_US
 # How long a machine stays cordoned after it was last chosen to drain: its release takes a while.
 _DRAINING_US = 30 * SECOND_US
-# One replica is moved at a time per this many running replicas, but at least one.
-_REPLICAS_PER_MOVE = 250
+# One replica is moved at a time for each this many that are running, but at least one.
+_RUNNING_PER_MOVED_REPLICA = 250
 
 
 class Consolidator:
@@ -33,7 +33,9 @@
         self._registry = registry
         self._offers = offers
         self._clock = clock
+        # When each live replica was first seen by ``choose_replicas``, by attempt.
         self._first_seen_at_us: dict[AttemptKey, int] = {}
+        # Jobs of which replicas were stopped and may not have been placed again yet.
         self._moving_jobs: set[str] = set()
         self._draining_until_us: dict[str, int] = {}
 
@@ -46,8 +48,14 @@
         return set(self._draining_until_us)
 
     def _replica_host(
-        self, machine: Machine, first_seen_at_us: dict[AttemptKey, int], now_us: int
+        self, machine: Machine, previous_first_seen_at_us: dict[AttemptKey, int], now_us: int
     ) -> ReplicaHost | None:
+        """Return a machine with its replicas.
+
+        Return None if it runs none, if nothing may be placed on it or if its type is unknown. The
+        replicas' times in ``previous_first_seen_at_us`` are carried over to
+        ``_first_seen_at_us``; a replica without one is first seen now.
+        """
         capacity, machine_type = (
             self._offers.free_capacity(machine),
             self._inventory.types.get(machine.type),
@@ -62,7 +70,7 @@
                 drainable = False
                 continue
             replicas.append((job, attempt))
-            since_us = self._first_seen_at_us[key] = first_seen_at_us.get(key, now_us)
+            since_us = self._first_seen_at_us[key] = previous_first_seen_at_us.get(key, now_us)
             drainable = drainable and now_us - since_us >= _MIN_RUN_US
         price = machine_type.spot_price if machine.spot else machine_type.price
         return ReplicaHost(capacity, machine.utilization(machine_type), price, replicas, drainable)
@@ -70,9 +78,10 @@
     def choose_replicas(self) -> list[tuple[Job, Attempt]]:
         """Return the replicas to stop now."""
         now_us = self._clock.now_us()
-        first_seen_at_us, self._first_seen_at_us = self._first_seen_at_us, {}
+        # ``_replica_host`` fills the new dict with the replicas that are still live.
+        previous_first_seen_at_us, self._first_seen_at_us = self._first_seen_at_us, {}
         replica_hosts = (
-            self._replica_host(machine, first_seen_at_us, now_us)
+            self._replica_host(machine, previous_first_seen_at_us, now_us)
             for machine in self._inventory.machines.values()
         )
         hosts = [host for host in replica_hosts if host is not None]
@@ -83,7 +92,7 @@
             if (job := self._registry.jobs.get(job_id)) is not None and job.pending_count() > 0
         }
         if self._moving_jobs:
-            # A stopped replica has not been placed again yet; no other is moved until it is.
+            # No other replica is stopped until those stopped before have been placed again.
             return []
         host = choose_machine_to_drain(hosts, self._inventory.zones_by_machine())
         if host is None:
@@ -92,6 +101,6 @@
         if name not in self._draining_until_us:
             log.info("draining %s: its %d replicas fit on other machines", name, len(host.replicas))
         self._draining_until_us[name] = now_us + _DRAINING_US
-        chosen = host.replicas[: max(1, running // _REPLICAS_PER_MOVE)]
+        chosen = host.replicas[: max(1, running // _RUNNING_PER_MOVED_REPLICA)]
         self._moving_jobs = {job.id for job, _ in chosen}
         return chosen
--- a/mosswalk/fleet/follower_reports.py
+++ b/mosswalk/fleet/follower_reports.py
@@ -21,8 +21,10 @@
 
 log = logging.getLogger(__name__)
 
-# The leader asks its followers every one or two seconds how many workers have reported to them.
-_LEADER_POLL_INTERVAL_US = 2 * SECOND_US
+# The longest time between two polls in which the leader asks its followers how many workers have
+# reported to them: ``peers.health`` pauses for 1 s and waits up to 1 s for the answers. This value
+# does not control the polls.
+_MAX_LEADER_POLL_INTERVAL_US = 2 * SECOND_US
 
 
 class FollowerReports:
@@ -33,16 +35,18 @@
     ) -> None:
         self._registry = registry
         self._leadership = leadership
-        # The window is long enough that no worker is missed between two polls of the leader.
+        # Workers that reported here recently, which the leader asks for. The window spans the
+        # interval between two polls and that between two reports, so that no worker is missed.
         self.recent_workers = RecentWorkers(
-            _LEADER_POLL_INTERVAL_US + to_us(limits.report_s), clock
+            _MAX_LEADER_POLL_INTERVAL_US + to_us(limits.report_s), clock
         )
         # Workers redirected within the last lease duration. If one of them reports here again, the
         # leader has not answered it.
         self._redirected = RecentWorkers(to_us(limits.lease_s), clock)
-        # Whether neither a leader nor a controller that knows one can be reached from here.
+        # Whether this controller knows no leader that it can reach, and reaches no controller that
+        # could name a new one.
         self.no_leader_reachable: Callable[[], bool] = lambda: False
-        # Whether the state service answers none of the controllers that can be reached from here.
+        # Whether the state service serves neither this controller nor any that it can reach.
         self.no_peer_reaches_state_service: Callable[[], bool] = lambda: False
         self._renews_leases = False
 
--- a/mosswalk/fleet/machine_list.py
+++ b/mosswalk/fleet/machine_list.py
@@ -48,6 +48,7 @@
     def _process_failed(self, row: ListedMachine) -> None:
         machine = self._inventory.machines.get(row.name)
         if machine is None:
+            # Only a machine in the inventory can be released.
             machine = self._adopt(row, "booting")
         self._releaser.release(machine, "the cloud lists it as failed")
 
@@ -65,6 +66,7 @@
                 row.zone,
             )
         elif machine.known_from_record_only:
+            # The job record that names the machine does not contain its type and zone.
             machine.known_from_record_only = False
             machine.type, machine.zone, machine.spot = row.type, row.zone, row.spot
             self._offers.mark_changed(row.name)
--- a/mosswalk/fleet/manager.py
+++ b/mosswalk/fleet/manager.py
@@ -76,7 +76,7 @@
 # the cloud's call rate.
 _MAX_LIST_CALL_FRACTION = 0.25
 _MACHINE_TYPES_INTERVAL_US = 60 * SECOND_US
-# Applies until the cloud has answered for the first time.
+# The interval of requests for the machine types until the cloud has answered one.
 _MACHINE_TYPES_RETRY_US = 2 * SECOND_US
 # Minimum time from the change of the leader to the first rental.
 _MIN_RENT_DELAY_US = 4 * SECOND_US
@@ -261,13 +261,14 @@
         self._check_leadership()
         self._leadership.observe_term(report.term)
         if not self._leading or not self._leadership.may_renew_worker_leases():
+            # A leader that may not renew the leases of workers answers like a follower.
             return self.follower_reports.answer(report)
         commands = self._report_intake.process(report, is_periodic=True)
         answer = ReportAnswer(self._leadership.term_number(), tuple(commands))
         return 200, msgspec.json.encode(answer)
 
     def fleet_changed(self) -> None:
-        """Schedule the planning of offers."""
+        """Schedule the planning of offers; called after changes that may affect them."""
         if self._leading and not self._plan_scheduled:
             self._plan_scheduled = True
             interval_us = max(_MIN_PLAN_INTERVAL_US, self._plan_pause_us)
@@ -282,10 +283,12 @@
                 self._clock.now_us()
             )
             self._report_intake.start_leading(self._leadership.term_number())
-            # No controller led before, so nothing has been rented: no need to wait for the list.
+            # In the first term no controller has led before, so nothing has been rented: no need to
+            # wait until the machine list shows earlier rentals.
             self._is_first_leader = self._leadership.term_number() <= 1
             self._list_received = self._types_received = False
             self._load_recorded_types()
+            # A request whose last time is this far back is due at once; so is the cleanup below.
             self._list_requested_at_us = self._types_requested_at_us = -_MACHINE_TYPES_INTERVAL_US
             for machine in list(self._registry.attempts_by_machine):
                 self.inventory.add_from_record(machine, self._clock.now_us())
@@ -533,7 +536,8 @@
     def _load_recorded_types(self) -> None:
         """Load machine types from the records, to be used until the cloud sends them with prices.
 
-        The cloud may be down when the leader changes, and free capacity can be used all the same.
+        The cloud may be down when the leader changes. Tasks can then still be placed on machines
+        that are up.
         """
         value = self._mirror.value(records.MACHINE_TYPES_KEY)
         if value is not None and not self.inventory.types:
--- a/mosswalk/fleet/preempting.py
+++ b/mosswalk/fleet/preempting.py
@@ -51,7 +51,10 @@
                 )
 
     def checkpoint_grace_s(self, victim: Victim) -> float:
-        """Return how long a victim may take to write a checkpoint before it is stopped."""
+        """Return how long a victim may take to write a checkpoint before it is stopped.
+
+        No time is given if the job that it is stopped for would then miss a wait objective.
+        """
         spec = victim.job.spec
         if not should_checkpoint(spec):
             return 0.0
--- a/mosswalk/fleet/record_maintenance.py
+++ b/mosswalk/fleet/record_maintenance.py
@@ -18,7 +18,7 @@
 log = logging.getLogger(__name__)
 
 
-def _without_prices(types: tuple[MachineType, ...]) -> bytes:
+def _encode_without_prices(types: tuple[MachineType, ...]) -> bytes:
     # Prices change often, and other controllers don't need them.
     return records.encode([structs.replace(t, price=0.0, spot_price=0.0) for t in types])
 
@@ -41,18 +41,21 @@
         self._leadership = leadership
 
     def machine_types_recorded(self, types: tuple[MachineType, ...]) -> bool:
-        """Return whether these are the recorded types, used by controllers to check submissions."""
-        return self._mirror.value(records.MACHINE_TYPES_KEY) == _without_prices(types)
+        """Return whether the record contains these types, apart from their prices.
+
+        Controllers check submissions against the record.
+        """
+        return self._mirror.value(records.MACHINE_TYPES_KEY) == _encode_without_prices(types)
 
     async def write_machine_types(self, types: tuple[MachineType, ...]) -> bool:
-        """Record the types that controllers check submissions by; return whether that worked."""
+        """Record the types that controllers check submissions against; return whether it worked."""
         guards = {
             records.MACHINE_TYPES_KEY: self._mirror.version(records.MACHINE_TYPES_KEY),
             records.TERM_KEY: self._leadership.term_version,
         }
         try:
             await self._writer.commit(
-                Change(guards, {records.MACHINE_TYPES_KEY: Raw(_without_prices(types))})
+                Change(guards, {records.MACHINE_TYPES_KEY: Raw(_encode_without_prices(types))})
             )
         except (ConflictError, RefusedError, UnknownOutcomeError) as error:
             log.info("machine types not written, to be retried: %s", error)
--- a/mosswalk/fleet/stopping.py
+++ b/mosswalk/fleet/stopping.py
@@ -18,7 +18,8 @@
 from mosswalk.store.records import Attempt
 from mosswalk.wire.workers import Command
 
-# A task that still runs after its grace period times this factor, plus this margin, is killed.
+# A task is killed if it still runs after its grace period times ``_KILL_GRACE_FACTOR``, plus this
+# margin.
 _KILL_MARGIN_US = 5 * SECOND_US
 _KILL_GRACE_FACTOR = 1.5
 
@@ -93,6 +94,7 @@
             return
         name = task_name(job.id, attempt.task)
         reported = machine.tasks.get((name, attempt.number))
+        # An attempt that the machine has not reported may be about to start there.
         if reported is None or reported.phase != "exited":
             self._send_command(machine, Command("kill", name, attempt.number, grace_s))
 
--- a/mosswalk/placement/owner.py
+++ b/mosswalk/placement/owner.py
@@ -40,14 +40,17 @@
 # While the write rate is exhausted, outcomes of completed tasks are deferred for up to this time if
 # their job continues: each change of a job costs a write, however many of its tasks it covers.
 _MAX_DEFERRAL_US = 2 * SECOND_US
-# How long it may take to write the outcomes of a round that is limited in favour of prod work, and
-# the lowest limit on the number of jobs that such a round changes.
+# While prod work waits, a round changes only as many jobs for their outcomes as can be written in
+# this time at this owner's share of the write rate.
 _LIMITED_ROUND_WRITE_S = 0.8
+# The lowest limit on the number of jobs that such a round changes.
 _MIN_JOB_LIMIT = 8
-# The tasks of a gang are reported done within about this time of each other.
+# Outcomes of a gang are deferred for up to this time: its tasks are reported done within about this
+# time of each other.
 _MAX_GANG_DEFERRAL_US = 700_000
-# How often jobs are checked for records that are too large, and how many are split at once.
+# How often jobs are checked for records that are too large.
 _SPLIT_CHECK_INTERVAL_US = SECOND_US
+# How many jobs have their records split at the same time.
 _MAX_CONCURRENT_SPLITS = 4
 _ERROR_RETRY_S = 0.2
 _NO_JOB_LIMIT = 1 << 30
@@ -134,6 +137,7 @@
         self._apply_outcomes(drafts)
         for job in self._registry.withdrawn.values():
             # The last attempt ended while the job was being withdrawn: it only has to be closed.
+            # An empty draft does that, because it puts the final record of such a job.
             if (
                 job.record.live_count == 0
                 and job.id not in drafts
@@ -174,6 +178,7 @@
                 for job_id, remaining in remaining_assignments.items()
             )
         )
+        # The commits have been applied to the mirror without calling those that wait for changes.
         self._mirror.notify_batch_applied()
         revision = max((r for r in revisions if r is not None), default=self._mirror.revision)
         for future, placed in answers:
@@ -192,8 +197,8 @@
     async def _split_records(self) -> None:
         """Split records that the state service would reject, before anything else is written."""
         if not self._leadership.gangs_allowed():
-            # Controllers of the first version can't read split records. The limits are lowered only
-            # after the upgrade.
+            # Split records came with the same version as gangs: a controller of the first version
+            # can't read them. The service's limits are lowered only after the upgrade.
             return
         now_us = self._clock.now_us()
         if now_us - self._split_checked_at_us >= _SPLIT_CHECK_INTERVAL_US:
@@ -221,8 +226,11 @@
                 return
         log.info("%s split into records of %d tasks", job.id, split.header.chunk_size)
 
-    def _must_split_first(self, job: Job) -> bool:
-        """Whether a job's records must be split before they are written again."""
+    def _schedule_split_if_needed(self, job: Job) -> bool:
+        """Whether a job's records must be split before they are written again.
+
+        If so, they are split at the beginning of the next round, which is scheduled.
+        """
         if not self._leadership.gangs_allowed() or not needs_split(job, self._limits):
             return False
         self._jobs_to_split.add(job.id)
@@ -232,8 +240,8 @@
     def _end_partly_placed_gangs(self, drafts: dict[str, Draft]) -> None:
         """End the attempts of gangs of which only a part was recorded.
 
-        A round waits for all its commits, so the owner that was recording the rest has failed or
-        is gone.
+        A round waits for all its commits, so no round of this owner is still recording the rest:
+        either a commit of it has failed, or another owner was recording it and has been replaced.
         """
         for job in self._registry.gangs.values():
             if job.record.gang_phase == "placing" and self._leadership.owns(job.spec.team):
@@ -313,7 +321,11 @@
         for job_id, job_outcomes in prod_first:
             job = self._registry.jobs[job_id]
             over_limit = limited and len(drafts) >= self._max_outcome_jobs
-            if over_limit or self._can_defer(job, job_outcomes) or self._must_split_first(job):
+            if (
+                over_limit
+                or self._can_defer(job, job_outcomes)
+                or self._schedule_split_if_needed(job)
+            ):
                 self._outcomes.update({(o.task, number): o for _, number, o in job_outcomes})
                 if over_limit:
                     self._wake.set()
@@ -354,7 +366,7 @@
         jobs = [
             job
             for job in self._registry.unplaced.get(team.name, {}).values()
-            if job.id not in drafts and not self._must_split_first(job)
+            if job.id not in drafts and not self._schedule_split_if_needed(job)
         ]
         queue = TeamQueue(
             team,
@@ -394,6 +406,7 @@
             revision = await self._writer.commit(change)
         except ConflictError as conflict:
             log.info("placement commit failed: %s", conflict)
+            # Final records are not mirrored.
             keys = [k for k in conflict.failed if not k.startswith(records.FINAL_PREFIX)]
             try:
                 await self._mirror.refresh(keys)
--- a/mosswalk/placement/queues.py
+++ b/mosswalk/placement/queues.py
@@ -15,10 +15,10 @@
 # A job without targets is sorted as if its target were this long after it was submitted.
 _DEFAULT_TARGET_US = 600_000_000
 _SORT_KEY_VALID_US = 200_000
-# After waiting this long, an idle job ranks as a standard one.
+# This long after its submission, an idle job ranks as a standard one.
 _IDLE_PROMOTION_US = 50_000_000
-# After this time every job ranks at least as a high one, started or not: a job that has started
-# must not be starved before it completes.
+# This long after its submission, every job ranks at least as a high one, started or not: a job that
+# has started must not be starved before it completes.
 _HIGH_PROMOTION_US = 300_000_000
 # A job that has not started after this time is overdue: it comes before all work but prod, and the
 # freed part of its team's limit and the capacity that it claims are held for it.
@@ -26,6 +26,7 @@
 # After this time an overdue job comes before prod work too. Users expect every job to start within
 # four minutes.
 _OVERDUE_BEFORE_PROD_US = 200_000_000
+# A rank more urgent than that of prod work, which is 0.
 _BEFORE_PROD_RANK = -1
 
 
@@ -43,6 +44,9 @@
 class QueueOrder:
     """The order of a team's queue: by priority, then by the targets that can still be met.
 
+    The priority is a rank, of which a lower one is more urgent. A job that was submitted long ago
+    gets a more urgent rank than its submission asks for.
+
     A job that can't meet any of its targets any more comes after those that can, since placing it
     first would make them late too. A job's targets are its deadline and the objectives of its
     class, which limit the time until it starts or is done.
@@ -60,6 +64,7 @@
     def _earliest_done_at_us(self, job: Job, wall_us: int) -> int:
         """When the job could be done if it used its team's whole CPU limit from now on."""
         limit = self._cpu_limits.get(job.spec.team, 0)
+        # How many times as many tasks as the limit allows at once are still to be run.
         waves = 1.0
         if limit > 0 and job.cpus > 0:
             remaining = job.spec.tasks - job.record.done_count
@@ -82,7 +87,7 @@
         return min((*reachable, *(t for t in start_targets if t >= wall_us)), default=None)
 
     def sort_key(self, job: Job, wall_us: int) -> tuple[int, bool, int, int, str]:
-        """The sort key of a job in its team's queue.
+        """The sort key of a job in its team's queue: rank, whether late, target, submission, id.
 
         It is cached for a short interval, as plans are made many times a second.
         """
@@ -106,15 +111,16 @@
             rank = min(rank, HIGH_RANK)
         elif waited_us > _IDLE_PROMOTION_US:
             rank = min(rank, STANDARD_RANK)
-        # A job that is too late for its targets is postponed, but not forever.
+        # A job that is too late for its targets is postponed, but not forever. This limit matters
+        # for jobs that have started; the others are overdue after the same time, see below.
         late = late and waited_us <= OVERDUE_US
         # A job without a target is neither preferred nor postponed forever.
         target_at_us = (
             submitted_at_us + _DEFAULT_TARGET_US if target_at_us is None else target_at_us
         )
         if is_overdue(job, wall_us):
-            # After prod work at first: a waiting replica costs more than the late start of a batch
-            # job.
+            # At first an overdue job comes after prod work: a waiting replica costs more than the
+            # late start of a batch job.
             rank = HIGH_RANK if waited_us < _OVERDUE_BEFORE_PROD_US else _BEFORE_PROD_RANK
             return (rank, False, submitted_at_us, submitted_at_us, job.id)
         return (rank, late, target_at_us, submitted_at_us, job.id)
@@ -161,6 +167,7 @@
     """All tasks of a gang, each placed on a machine."""
 
     job: Job
+    # In the order of the tasks' indexes.
     capacities: list[FreeCapacity]
 
     def task_capacities(self) -> list[tuple[int, FreeCapacity]]:
