--- a/mosswalk/api/jobs.py
+++ b/mosswalk/api/jobs.py
@@ -71,8 +71,12 @@
     return Reply(status, msgspec.json.encode(ErrorBody(text[:_MAX_ERROR_CHARS])), retry_after_s)
 
 
-def state_of_open_job(record: JobRecord) -> JobState:
-    """The state of a job that has no final record yet, as shown to users."""
+def state_of_unfinished_job(record: JobRecord) -> JobState:
+    """The state of a job that has no final record yet, as shown to users.
+
+    Such a job may be withdrawn or complete, while some of its attempts may still run. A complete
+    one is shown as done and without running tasks.
+    """
     job_id = record.spec.id
     if record.phase == "withdrawn":
         return JobState(job_id, "withdrawn", record.done_count, record.live_count)
@@ -155,7 +159,7 @@
     def _job_state(job_id: str, found: tuple[JobRecord, int] | FinalRecord) -> JobState:
         if isinstance(found, FinalRecord):
             return JobState(job_id, found.phase, found.done, 0)
-        return state_of_open_job(found[0])
+        return state_of_unfinished_job(found[0])
 
     async def poll(self, job_id: str) -> Reply:
         """Handle GET /api/jobs/{id}."""
--- a/mosswalk/detection/detector.py
+++ b/mosswalk/detection/detector.py
@@ -38,10 +38,11 @@
 # A tick that is late by more than this fraction of ``floor_s`` is a stall of this process.
 _STALL_LIMIT_FRACTION = 0.5
 # A heartbeat is sent to a controller if the last contact with it was more than this many heartbeat
-# periods ago.
+# periods ago. The limit is below 1, because a heartbeat that is not sent on this tick has to wait
+# for the next one, which is about a period later.
 _EXCHANGE_AFTER_PERIODS = 0.75
-# It is also sent if the controller last answered a request of this one more than this many periods
-# ago.
+# A heartbeat is also sent, whatever contacts there were, if the controller last answered a request
+# of this one more than this many heartbeat periods ago.
 _REQUEST_AFTER_PERIODS = 2.5
 
 
@@ -103,7 +104,10 @@
     # Queries and requests from other components.
 
     def is_active(self) -> bool:
-        """Whether all controllers took part in detection when the current term was made."""
+        """Whether failure detection is in force, by the current term.
+
+        It is in force from the first term on for which all controllers supported it, permanently.
+        """
         term = self._leadership.term
         return term is not None and term.detects
 
@@ -201,7 +205,7 @@
             self._exchanging.discard(node)
 
     async def _probe_through_others(self, peer: PeerMonitor) -> None:
-        """Ask third controllers, then re-evaluate the state of the silent one."""
+        """Have third controllers probe a silent one, then re-evaluate its state."""
         try:
             await self._heartbeats.probe_through_others(peer)
         finally:
--- a/mosswalk/detection/heartbeats.py
+++ b/mosswalk/detection/heartbeats.py
@@ -122,6 +122,7 @@
             return False
         peer.record_answer(self._clock.now_us())
         if status.heartbeat is not UNSET and status.heartbeat.node == node:
+            # If another controller answers at the address of ``node``, that is no contact with it.
             self.handle_heartbeat(status.heartbeat)
         elif not self._supports_detection(node):
             # It runs without failure detection: its answer is the only contact there is.
@@ -139,12 +140,13 @@
         present = self._leadership.present
         candidates = [node for node in self._monitors if node != peer.node and node in present]
         selected = self._rng.sample(candidates, min(self._tuning.probes, len(candidates)))
-        answers = await asyncio.gather(*(self._probe_one(node, peer.node) for node in selected))
+        answers = await asyncio.gather(*(self._probe_via(node, peer.node) for node in selected))
         if any(answers):
             peer.heard_by_others_at_us = self._clock.now_us()
         peer.probed = True
 
-    async def _probe_one(self, node: str, subject: str) -> bool:
+    async def _probe_via(self, node: str, subject: str) -> bool:
+        """Ask ``node`` whether it reaches ``subject``; False also if ``node`` does not answer."""
         try:
             return (await self._peers.probe(node, subject)).reached
         except PeerError:
--- a/mosswalk/detection/quorum.py
+++ b/mosswalk/detection/quorum.py
@@ -13,13 +13,13 @@
 
 
 class ReceivedHeartbeat(Struct, frozen=True):
-    """The latest heartbeat of an observer, and when it arrived."""
+    """The latest heartbeat of a controller, the observer, and when it arrived."""
 
     heartbeat: Heartbeat
     received_at_us: int
 
     def row_for(self, node: str) -> LinkRow | None:
-        """The observer's row about a controller, if there is one."""
+        """What the observer reports about its link to a controller, or None."""
         return next((row for row in self.heartbeat.rows if row.node == node), None)
 
 
--- a/mosswalk/detection/suspicion.py
+++ b/mosswalk/detection/suspicion.py
@@ -75,11 +75,14 @@
         return self.silence_us(now_us, listening_since_us) / self.timeout.timeout_us()
 
     def record_contact(self, run: str, now_us: int, listening_since_us: int) -> None:
-        """Record a contact: a heartbeat, an answer or a new presence record."""
+        """Record a contact: a heartbeat, an answer or a new presence record.
+
+        ``run`` identifies the peer's process: a restarted controller has another one.
+        """
         if run != self.run:
             self._reset_for_run(run, now_us)
         elif self.last_heard_at_us >= listening_since_us:
-            # Otherwise part of the gap is due to a stall of this process.
+            # The gap counts only if this process has not stalled during it: a stall lengthens it.
             self.timeout.add_gap(now_us - self.last_heard_at_us)
         self.last_heard_at_us = now_us
         self.refused = self.probed = self.verdict_given = False
--- a/mosswalk/detection/view.py
+++ b/mosswalk/detection/view.py
@@ -18,6 +18,7 @@
     suspected: bool
     # Time since the last change of state.
     state_age_s: float = field(name="since_s")
+    # The state of the link in words.
     reason: str = field(name="why")
     last_heard_age_s: float = field(name="heard_s")
     timeout_s: float = field(name="patience_s")
--- a/mosswalk/jobs/registry.py
+++ b/mosswalk/jobs/registry.py
@@ -148,11 +148,12 @@
         self._notify_end(previous, job)
 
     def _reindex(self, job_id: str, job: Job) -> list[Attempt]:
-        """Index a job whose layout has changed; return the attempts that are new."""
+        """Index a job whose tasks were moved to other chunks; return the attempts that are new."""
         known_attempts = {
             a for (j, _), live in self._indexed_attempts.items() if j == job_id for a in live
         }
         for indexed_id, chunk in [k for k in self._indexed_attempts if k[0] == job_id]:
+            # Chunk 0 is part of the job's own record, which is indexed below.
             if chunk and chunk not in job.chunks:
                 self._index_chunk(indexed_id, chunk, ())
         added = self._index_chunk(job_id, 0, job.record.tasks.live)
--- a/mosswalk/jobs/state.py
+++ b/mosswalk/jobs/state.py
@@ -45,7 +45,10 @@
 
 @lru_cache(maxsize=1024)
 def milli_floor(amount: float) -> int:
-    """Convert a capacity or a limit to whole thousandths, rounded down."""
+    """Convert a capacity or a limit to whole thousandths, rounded down.
+
+    A value that is below a whole thousandth only by a floating-point error is not lowered.
+    """
     scaled = amount * 1000
     nearest = round(scaled)
     return nearest if abs(scaled - nearest) < _ROUNDING_ERROR else int(scaled)
@@ -100,7 +103,10 @@
 
     @property
     def gang_ending(self) -> bool:
-        """Whether it is a gang whose attempt lost a task or was never placed completely."""
+        """Whether it is a gang whose attempt is ending: its remaining tasks are being stopped.
+
+        An attempt ends when one of its tasks has ended, or if not all of them could be placed.
+        """
         return self.record.gang_phase == "ending"
 
     def deadline_at_us(self) -> int:
@@ -216,7 +222,7 @@
         return rows + len(tasks.done) + header <= self._value_bytes
 
     def record_outcome(self, index: int, number: int, kind: OutcomeKind) -> bool:
-        """Remove an attempt that has ended.
+        """Remove an attempt that has ended, and mark an array's task as done if it succeeded.
 
         Return False if it is not recorded or its chunk doesn't fit this transaction.
         """
@@ -230,6 +236,7 @@
             self._record_gang_outcome(kind)
         # A service's replica that exits successfully is not done: it is started again.
         elif kind == "done" and self.record.spec.kind == ARRAY:
+            # ``done`` is a hexadecimal mask with a bit for each task of the chunk.
             mask = tasks.done_mask()
             bit = 1 << (index - chunk * self.record.chunk_size)
             if not mask & bit:
--- a/mosswalk/peers/__init__.py
+++ b/mosswalk/peers/__init__.py
@@ -84,10 +84,12 @@
 
     async def probe(self, node: str, subject: str) -> ProbeAnswer:
         """Ask a controller to try to reach a third one."""
+        # The asked controller waits up to 1.0 s for the third one (``exchange``).
         return await self._request(node, "/probe", subject, 1.5, ProbeAnswer)
 
     async def poll(self, node: str, job_id: str) -> PollAnswer:
         """Ask another controller to read a job's state from the state service."""
+        # The asked controller waits up to 1.0 s for the state service.
         return await self._request(node, "/poll", job_id, 1.2, PollAnswer)
 
     async def outcomes(self, node: str, message: Outcomes) -> None:
@@ -120,6 +122,7 @@
     async def offer(request: web.Request) -> web.Response:
         message = await decode_body(request, Offer)
         try:
+            # The sender of the offer stops waiting after 5.0 s.
             async with asyncio.timeout(6.0):
                 answer = await on_offer(message)
         except TimeoutError:
--- a/mosswalk/peers/health.py
+++ b/mosswalk/peers/health.py
@@ -71,10 +71,12 @@
         return self._clock.now_us() - self._confirmed_until_us() < MAX_CONFIRMATION_AGE_US
 
     def cannot_reach_leader(self, leader: str | None) -> bool:
-        """Whether neither the leader nor a controller that could name a new one can be reached.
+        """Whether this controller can't reach a leader, and can't learn of a new one either.
 
-        This is the case in a zone that is cut off, and where the leader died during an outage of
-        the state service.
+        That is, the state service serves no controller that could name a new leader, and the leader
+        given is None or did not answer. This is the case in a zone that is cut off, and where the
+        leader died during an outage of the state service. False while this controller is served,
+        and until it has asked the others after that.
         """
         if self.unreachable_peers is None or not self.state_service_unavailable():
             return False
--- a/mosswalk/store/client.py
+++ b/mosswalk/store/client.py
@@ -16,7 +16,7 @@
 log = logging.getLogger(__name__)
 
 _CONNECT_TIMEOUT_S = 1.0
-# How much longer than the service holds a watch the client waits for its answer.
+# The client waits for the answer to a watch this much longer than the service holds it.
 _WATCH_MARGIN_S = 3.0
 
 T = TypeVar("T")
--- a/mosswalk/store/writer.py
+++ b/mosswalk/store/writer.py
@@ -36,8 +36,9 @@
 _MAX_TRANSACTION_BYTES = 60 * 1024
 _MAX_COMMITS_IN_FLIGHT = 4
 _MAX_GUARDS_PER_OP = 4
-# Estimated sizes in an encoded transaction; that of a put is without its key and value.
+# The estimated size of a put in an encoded transaction, without its key and value.
 _PUT_OVERHEAD_BYTES = 40
+# The estimated size of a guard or a deletion in an encoded transaction, with its key.
 _GUARD_OR_DELETE_BYTES = 60
 # The writes of this many seconds may be sent in one burst.
 _BURST_S = 0.8
@@ -45,8 +46,9 @@
 _MAX_RETRY_S = 1.0
 _RETRY_GROWTH = 1.6
 # If a transaction is rejected while the outcome of an earlier copy is unknown, its guards are
-# checked this many times, with this pause after each.
+# checked up to this many times.
 _MAX_REJECTED_CHECKS = 20
+# The pause after each of these checks.
 _REJECTED_CHECK_PAUSE_S = 1.0
 
 
--- a/mosswalk/wire/state.py
+++ b/mosswalk/wire/state.py
@@ -23,7 +23,10 @@
 
 
 class Guard(Struct, frozen=True):
-    """A condition of a transaction: the key has this version, or doesn't exist if it is 0."""
+    """A condition of a transaction: the key has this version.
+
+    Version 0 means that the key doesn't exist.
+    """
 
     key: str = field(name="path")
     version: int = field(name="stamp")
--- a/mosswalk/wire/workers.py
+++ b/mosswalk/wire/workers.py
@@ -15,7 +15,8 @@
 
     task: str = field(name="piece")
     attempt: int = field(name="try")
-    # pulling, running, saving or exited; an unknown phase is treated as a live attempt.
+    # pulling (its image), gathering (a task of a gang that waits for the others to start), running,
+    # saving (a checkpoint) or exited; an unknown phase is treated as a live attempt.
     phase: str
     cause: str | None = None
     checkpointed: bool = field(name="saved", default=False)
