--- a/mosswalk/factory/pools.py
+++ b/mosswalk/factory/pools.py
@@ -12,16 +12,18 @@
 from mosswalk.factory.view import Pool
 from mosswalk.wire.cloud import MachineType
 
-# A pool that refused a rental is not tried again for this long; consecutive refusals double the
-# delay up to the maximum.
+# A pool that refused a rental is not tried again for this long.
 _REFUSAL_DELAY_US = 8_000_000
+# Refusals in a row double the delay up to this one.
 _MAX_REFUSAL_DELAY_US = 30_000_000
+# Bounds the shift that computes the delay.
 _MAX_DOUBLINGS = 4
 
 
 class PoolState(Struct):
     """The last measured times of a pool (CBRAIN paper, section IV-C), and its refusals in a row."""
 
+    # From the request for a machine until the cloud granted one, and from then until it was up.
     queue_us: float | None = None
     boot_us: float | None = None
     refused_until_us: int = 0
--- a/mosswalk/fleet/manager.py
+++ b/mosswalk/fleet/manager.py
@@ -69,7 +69,7 @@
 # most of the processor's time however long planning takes.
 _PLAN_PAUSE_FACTOR = 4
 _TICK_INTERVAL_US = 500_000
-# A tick later than this shows that the process was suspended.
+# More time than this between two ticks shows that the process was suspended.
 _STALL_LIMIT_US = 2 * SECOND_US
 _MIN_LIST_INTERVAL_US = 4 * SECOND_US
 # The machine list of a large fleet has many pages: reading it takes no more than this fraction of
