--- a/mosswalk/detection/detector.py
+++ b/mosswalk/detection/detector.py
@@ -216,6 +216,7 @@
         return self._leadership.present
 
     def _update_peer(self, peer: PeerMonitor) -> None:
+        """Update a controller's state; if it has changed, log that and send heartbeats to all."""
         change = peer.update_state(self._clock.now_us(), self._stall_monitor.listening_since_us)
         if change is None:
             return
@@ -246,6 +247,12 @@
     # Verdicts.
 
     def _evaluate_peers(self, now_us: int, listening_since_us: int) -> None:
+        """Fence off controllers that are dead, and report those that the leader can't use.
+
+        The leader evaluates all others, a follower only the leader. A controller that is cut off
+        may be alive, but the leader has to take its teams away. Absent controllers are not
+        reported, since the next term leaves them out anyway.
+        """
         leads = self._leadership.leads()
         leader = self._leadership.leader()
         cut_off = set()
@@ -260,6 +267,10 @@
             self._leadership.note_unreachable(self._cut_off & self._present().keys())
 
     def _evaluate_peer(self, peer: PeerMonitor, now_us: int, listening_since_us: int) -> None:
+        """Start to fence off a controller if a quorum agrees that its present run is dead.
+
+        A run that has not published its lease can't be fenced off.
+        """
         present = self._present().get(peer.node)
         if present is None or present.run != peer.run or present.lease is UNSET:
             return
--- a/mosswalk/detection/stall.py
+++ b/mosswalk/detection/stall.py
@@ -14,6 +14,7 @@
     def __init__(self, now_us: int, wall_us: int, limit_us: int) -> None:
         self._limit_us = limit_us
         self._last_tick_at_us = now_us
+        # Wall clock minus monotonic clock at the last tick; a jump shows a suspended machine.
         self._wall_offset_us = wall_us - now_us
         # Since when this process has been receiving without a stall.
         self.listening_since_us = now_us
--- a/mosswalk/jobs/registry.py
+++ b/mosswalk/jobs/registry.py
@@ -61,6 +61,7 @@
         mirror.listen(records.CHUNK_PREFIX, self._chunk_changed)
 
     def _index_chunk(self, job_id: str, chunk: int, live: tuple[Attempt, ...]) -> list[Attempt]:
+        """Replace a chunk's attempts in the index by machine; return those that are new in it."""
         previous = self._indexed_attempts.get((job_id, chunk), ())
         if live:
             self._indexed_attempts[(job_id, chunk)] = live
@@ -118,6 +119,7 @@
         return {team: Usage(used.cpus, used.gpus) for team, used in self._usage.items()}
 
     def _job_changed(self, key: str, value: bytes | None, version: int) -> None:
+        """Apply a written or deleted job header, with those chunks that have its layout."""
         job_id = key.removeprefix(records.JOB_PREFIX)
         if value is None:
             self._replace_job(job_id, None)
@@ -167,6 +169,7 @@
         return [attempt for attempt in added if attempt not in known_attempts]
 
     def _notify_end(self, previous: Job | None, job: Job) -> None:
+        """Call the callbacks for a job that was withdrawn or a gang that started to end."""
         if previous is None:
             return
         if previous.record.phase == "open" and job.record.phase != "open":
@@ -177,6 +180,12 @@
                 callback(job)
 
     def _chunk_changed(self, key: str, value: bytes | None, _version: int) -> None:
+        """Apply a written or deleted chunk of a job's tasks.
+
+        While a job's records are being split, chunks of the old and the new layout exist. Only
+        those of the layout that the job's header names belong to the job and are indexed. Without
+        a header, nothing of the job stays indexed.
+        """
         chunk_id = records.parse_chunk_key(key)
         job_id, number = chunk_id.job, chunk_id.chunk
         chunks = self._chunks.setdefault(job_id, {})
--- a/mosswalk/leadership/actor.py
+++ b/mosswalk/leadership/actor.py
@@ -41,7 +41,8 @@
 # A controller that has handed over leadership does not campaign for this long, so that another one
 # takes it.
 _HANDOVER_PAUSE_US = 5_000_000
-# No tasks are started once the mirror was last confirmed longer ago than this.
+# No tasks are started once the state service last confirmed the mirror longer ago than this: by
+# then another controller may lead without this one having seen it.
 _MAX_START_UNCONFIRMED_US = to_us(5.0)
 # The presence is rewritten after this many renewals in a row at which the mirror did not show it.
 _MAX_PRESENCE_MISMATCHES = 3
@@ -52,8 +53,9 @@
 _LEASE_RETRY_S = 0.2
 _CONFLICT_RETRY_S = 0.1
 _TERM_RETRY_S = 0.3
-# How often, and how many times, the mirror is checked for a term just written.
+# The interval between checks whether the mirror shows a term just written.
 _MIRROR_POLL_S = 0.02
+# After this many such checks the term is reviewed again even if the mirror does not show it.
 _MAX_MIRROR_POLLS = 100
 
 
@@ -173,13 +175,18 @@
         return {zones[node] for node in {*self.present, self.node} if node in zones}
 
     def may_start_tasks(self) -> bool:
-        """Whether this controller leads and was recently confirmed, as starting tasks requires."""
+        """Whether this controller may have workers start tasks.
+
+        Its authority must hold (see ``_may_act``), it must lead according to the mirror, and the
+        state service must have confirmed the mirror within ``_MAX_START_UNCONFIRMED_US``.
+        """
         if not self._may_act():
             return False
         unconfirmed_us = self._clock.now_us() - self._mirror.confirmed_until_us
         return self.leads() and unconfirmed_us < _MAX_START_UNCONFIRMED_US
 
     def _may_act(self) -> bool:
+        """Whether authority holds: it needs confirmation after a freeze if detection is on."""
         return self.authority is None or self.authority.may_act()
 
     def suspected(self) -> frozenset[str]:
@@ -285,6 +292,10 @@
         return Presence(self.node, self.run_id, records.CURRENT_VERSION, published_lease)
 
     async def _acquire_lease(self) -> None:
+        """Acquire a lease and write this run's presence on it.
+
+        Its time counts from before the request: the state service may have granted it then.
+        """
         requested_at_us = self._clock.now_us()
         lease = await self._client.grant(self._ttl_us // 1000)
         await self._write_presence(lease)
@@ -378,6 +389,11 @@
         log.log(level, "%s", line)
 
     async def _review_term(self) -> None:
+        """Campaign or hand over if the current state requires it.
+
+        A leader makes a new term if a worker reported a higher one, if one was requested, if the
+        controllers or the owners of teams have to change, or to enable what all now support.
+        """
         now_us = self._clock.now_us()
         holds_leader_key = (
             self._leader_presence is not None and self._leader_presence.node == self.node
@@ -410,8 +426,11 @@
             # Teams are not rebalanced while a controller is suspected: a suspicion alone must not
             # cause a new term.
             settled = now_us - self._presences_changed_at_us > _JOIN_SETTLE_US and not suspected
-            requested = max(self._highest_observed_term, self._superseded_term + 1) > self.term.term
-            if requested or (
+            # A worker has reported a higher term, or ``request_new_term`` was called in this one.
+            higher_term_needed = (
+                max(self._highest_observed_term, self._superseded_term + 1) > self.term.term
+            )
+            if higher_term_needed or (
                 needs_new_term(self.term, runs, self._unreachable, suspected)
                 and (restarted or departed or unreachable_owners or settled)
             ):
@@ -477,6 +496,11 @@
             )
 
     async def _campaign(self, reason: str, *, upgrade: bool = False, detects: bool = False) -> None:
+        """Write a new term that this controller leads, and take the leader's key with it.
+
+        Guarded by the versions of both keys, so that of several candidates one succeeds. A term
+        that enables new behaviour is also guarded by the presences that show all support it.
+        """
         if self.lease is None:
             return
         term = next_term(
