--- a/mosswalk/cloud/actor.py
+++ b/mosswalk/cloud/actor.py
@@ -26,8 +26,9 @@
 _INITIAL_RELEASE_DELAY_S = 0.4
 _RELEASE_DELAY_FACTOR = 1.7
 _MAX_DELAY_S = 4.0
-# Each retry delay is multiplied by a random factor between these.
+# Each retry delay is multiplied by a random factor of at least this.
 _MIN_JITTER = 0.7
+# The upper bound of that factor.
 _MAX_JITTER = 1.3
 
 
--- a/mosswalk/fleet/follower_reports.py
+++ b/mosswalk/fleet/follower_reports.py
@@ -55,11 +55,14 @@
         if self._may_renew_lease(report):
             commands = tuple(kill_commands_for_closed_jobs(report, self._registry.jobs))
             return 200, msgspec.json.encode(ReportAnswer(self._leadership.term_number(), commands))
+        # The leader asks for the count of the first; the second shows this controller whether a
+        # worker comes back after it was sent away.
         self.recent_workers.record(report.machine)
         self._redirected.record(report.machine)
-        return self._refusal()
+        return self._redirect_or_reject()
 
-    def _refusal(self) -> tuple[int, bytes]:
+    def _redirect_or_reject(self) -> tuple[int, bytes]:
+        """Redirect to the leader (421), or reject (503) if no other controller is known to lead."""
         leader = self._leadership.leader()
         if leader is not None and leader != self._leadership.node:
             return 421, msgspec.json.encode(Redirect(leader))
--- a/mosswalk/fleet/manager.py
+++ b/mosswalk/fleet/manager.py
@@ -275,6 +275,7 @@
             asyncio.get_running_loop().call_later(to_s(interval_us), self.send, Plan())
 
     def _check_leadership(self) -> None:
+        """Set up the leader's state when this controller begins to lead; clear it when it stops."""
         leads = self._leadership.leads()
         if leads and not self._leading:
             log.info("leading in term %d", self._leadership.term_number())
@@ -356,6 +357,10 @@
             self._stops.kill_gang(job)
 
     def _on_direct_commands_done(self, message: DirectCommandsDone) -> None:
+        """Process the answer to commands sent directly to a worker, or the failure to send them.
+
+        Start commands that were not sent or were answered with a report are not in flight any more.
+        """
         self._command_sender.request_ended(message.machine)
         machine = self.inventory.machines.get(message.machine)
         if machine is None:
@@ -373,6 +378,7 @@
     # Offers.
 
     def _plan_offers(self) -> None:
+        """Plan and send offers, and preempt for gangs that fit nowhere."""
         started_at_us = self._clock.now_us()
         for node, offer in self._offers.plan():
             self.spawn(self._send_offer(node, offer))
@@ -403,6 +409,7 @@
     # Periodic work.
 
     def _tick(self) -> None:
+        """Do the leader's periodic work; most of it only while worker leases may be renewed."""
         now_us = self._clock.now_us()
         if now_us - self._last_tick_at_us > _STALL_LIMIT_US:
             # While this process was suspended, it received no reports, so the silence of machines
@@ -522,6 +529,7 @@
         self.release(machine, release.reason)
 
     def _on_released(self, names: Iterable[str]) -> None:
+        """Remove released machines; the attempts recorded on them are lost."""
         for name in names:
             for key in self._registry.attempts_on(name):
                 self._outcome_sender.add_confirmed(
@@ -604,6 +612,7 @@
             self._stops.stop_gang(job)
 
     def _run_factory(self, waiting: list[WaitingTasks]) -> None:
+        """Release and rent machines as the factory decides from the waiting tasks."""
         groups_by_pool, releases = self._scaler.decide(
             waiting,
             self._offers.free_capacity,
--- a/mosswalk/fleet/offers.py
+++ b/mosswalk/fleet/offers.py
@@ -172,6 +172,7 @@
                 yield key
 
     def _update_usage(self, machine: Machine, running: list[Job]) -> None:
+        """Update what a machine's tasks use and since when it has been idle."""
         machine.used_cpus = sum(job.cpus for job in running)
         machine.used_memory = sum(job.memory for job in running)
         machine.has_replica = any(job.spec.kind == "daemon" for job in running)
@@ -183,6 +184,7 @@
             machine.idle_since_us = self._clock.now_us()
 
     def _build(self, machine: Machine) -> FreeCapacity | None:
+        """Compute a machine's free capacity, less reservations; None if it may not be used."""
         jobs = self._registry.jobs
         running = [jobs[key[0]] for key in self.attempts_using_capacity(machine) if key[0] in jobs]
         self._update_usage(machine, running)
@@ -230,6 +232,7 @@
     def _claim_for_overdue_jobs(
         self, queues: Iterable[TeamQueue], capacities: list[FreeCapacity]
     ) -> None:
+        """Claim a machine for each overdue job that fits nowhere now and has no claim yet."""
         until_us = self._clock.now_us() + _OVERDUE_CLAIM_US
         for queue in queues:
             for job in queue.unschedulable:
@@ -244,6 +247,11 @@
                     self.claim(capacity.machine, until_us, job.id)
 
     def _remove_ended_reservations(self) -> None:
+        """Remove reservations that have expired or whose placements the mirror shows.
+
+        If this controller is the owner, an answered reservation ends at once: the owner applies its
+        commits to the mirror itself, without waiting for the watch.
+        """
         now_us = self._clock.now_us()
         remaining = [
             r
@@ -260,6 +268,7 @@
             self._index_reservations()
 
     def _index_reservations(self) -> None:
+        """Group the reservations by machine, and mark all machines concerned as changed."""
         for name in self._reserved_by_machine:
             self.mark_changed(name)
         self._reserved_by_machine = {}
--- a/mosswalk/fleet/stray_machines.py
+++ b/mosswalk/fleet/stray_machines.py
@@ -10,9 +10,10 @@
 # Workers mostly find a new leader by themselves within this time. After it they are probed, and
 # again at intervals of the same length.
 _PROBE_INTERVAL_US = 2 * SECOND_US
-# The limit of probes per tick is the number of machines over the divisor, but at least the minimum.
-# So probing a large fleet takes no longer than half a lease.
+# The limit of probes per tick is never below this number.
 _MIN_PROBE_LIMIT = 64
+# In a large fleet the limit is the number of machines over this divisor, so that probing all of
+# them takes no longer than half a lease.
 _PROBE_LIMIT_DIVISOR = 16
 
 
--- a/mosswalk/peers/withdrawal_broadcast.py
+++ b/mosswalk/peers/withdrawal_broadcast.py
@@ -21,8 +21,9 @@
 log = logging.getLogger(__name__)
 
 _RETRY_DELAY_S = 0.5
-# The retry delay is multiplied by a random factor between these.
+# The retry delay is multiplied by a random factor of at least this.
 _MIN_JITTER = 0.7
+# The upper bound of that factor.
 _MAX_JITTER = 1.3
 # A record takes up to the setting ``value_kb``, and a message should stay below 4 MiB.
 _MAX_PER_MESSAGE = 32
--- a/mosswalk/placement/capacity.py
+++ b/mosswalk/placement/capacity.py
@@ -146,9 +146,10 @@
     return capacity.core_price * (fetch_s + max(_MIN_RUN_S, job.spec.estimate_s))
 
 
-# Fetch times are rounded to multiples of these before they are compared: the first is for replicas
-# and gangs, the second for arrays.
+# For replicas and gangs, image fetch times are rounded to multiples of this before they are
+# compared.
 _REPLICA_FETCH_STEP_S = 0.3
+# For arrays, they are rounded to multiples of this.
 _ARRAY_FETCH_STEP_S = 3.0
 
 
--- a/mosswalk/placement/owner.py
+++ b/mosswalk/placement/owner.py
@@ -121,6 +121,7 @@
             self._discard_closed_jobs()
 
     async def _run_round(self, offers: list[tuple[Offer, asyncio.Future[OfferAnswer]]]) -> None:
+        """Apply outcomes, place tasks on offers, commit one change per job, answer the offers."""
         term = self._leadership.term
         if term is None:
             self._outcomes.clear()
@@ -216,6 +217,7 @@
         await asyncio.gather(*(self._split_job(job) for job in jobs[:_MAX_CONCURRENT_SPLITS]))
 
     async def _split_job(self, job: Job) -> None:
+        """Commit the changes that split a job's records; stop at the first that fails."""
         guards = {
             records.TERM_KEY: self._leadership.term_version,
             records.job_key(job.id): job.version,
@@ -277,7 +279,8 @@
     def _can_defer(self, job: Job, outcomes: list[tuple[int, int, Outcome]]) -> bool:
         """Whether a job's outcomes may be written later, together with further ones.
 
-        They may not if they complete the job, or if a task has to be placed again.
+        They may not if they complete the job, if a task has to be placed again, or if the job is
+        not open any more.
         """
         if any(outcome.kind != "done" for _, _, outcome in outcomes):
             return False
@@ -297,6 +300,7 @@
         return now_us - self._deferred_since_us.setdefault(job.id, now_us) < _MAX_DEFERRAL_US
 
     def _apply_outcomes(self, drafts: dict[str, Draft]) -> None:
+        """Record received outcomes in drafts of their jobs; defer those that need not be now."""
         outcomes, self._outcomes = self._outcomes, {}
         by_job: dict[str, list[tuple[int, int, Outcome]]] = {}
         for (task, number), outcome in outcomes.items():
@@ -313,8 +317,9 @@
         # the outcomes of arrays. Otherwise it takes all of them: with a slow state service, short
         # rounds get less done.
         limited = self._has_prod_work(by_job)
-        # Prod jobs come first, the others in order of arrival. Sorted by priority, the outcomes of
-        # idle jobs were written last for as long as a burst of standard work went on.
+        # Prod jobs come first, the others in order of arrival. When all were sorted by priority,
+        # outcomes of jobs of class ``idle`` were delayed for as long as a burst of ``standard``
+        # jobs went on.
         prod_first = sorted(
             by_job.items(), key=lambda item: self._registry.jobs[item[0]].rank > PROD_RANK
         )
@@ -361,6 +366,11 @@
         remaining_assignments: dict[str, list[Assignment]],
         term: int,
     ) -> int:
+        """Place a team's tasks on offered capacity, in drafts; return how many were placed.
+
+        The part of a gang that does not fit its first transaction goes to
+        ``remaining_assignments``.
+        """
         delayed_jobs = self._failures.delayed_jobs(self._clock.now_us())
         team_usage = usage.setdefault(team.name, Usage())
         jobs = [
@@ -402,6 +412,10 @@
         return placed
 
     async def _commit(self, change: Change) -> int | None:
+        """Commit a change and apply it to the mirror; return its revision, or None if it failed.
+
+        After a conflict, the keys concerned are read again, so that the next round can succeed.
+        """
         try:
             revision = await self._writer.commit(change)
         except ConflictError as conflict:
--- a/mosswalk/store/mirror.py
+++ b/mosswalk/store/mirror.py
@@ -119,6 +119,7 @@
         for key, value in change.puts.items():
             if key.startswith(records.MIRROR_PREFIX):
                 self.apply_response(key, bytes(value), revision)
+        # Changes delete only job headers and chunks, which are all mirrored.
         for key in change.deletes:
             self.apply_response(key, None, revision)
 
--- a/mosswalk/store/writer.py
+++ b/mosswalk/store/writer.py
@@ -35,6 +35,8 @@
 
 _MAX_TRANSACTION_BYTES = 60 * 1024
 _MAX_COMMITS_IN_FLIGHT = 4
+# A batch of several changes has at most this many guards per operation that the service allows in a
+# transaction. The limit on operations itself counts only writes.
 _MAX_GUARDS_PER_OP = 4
 # The estimated size of a put in an encoded transaction, without its key and value.
 _PUT_OVERHEAD_BYTES = 40
