--- a/tests/simulation.py
+++ b/tests/simulation.py
@@ -109,6 +109,7 @@
         return self.specs.get(task.partition("/")[0])
 
     def draw_run_time_s(self, task: str) -> float:
+        """A random run time; a task that was done already has no work left if it is run again."""
         if task in self.done_tasks:
             return 0.0
         return self.run_times_s[task.partition("/")[0]] * self.rng.uniform(0.4, 1.6)
--- a/tests/test_factory.py
+++ b/tests/test_factory.py
@@ -40,11 +40,14 @@
     a = PoolEstimate(("t", "a", False), price=2.0, queue_us=10.0, boot_us=30.0)
     b = PoolEstimate(("t", "b", False), price=1.0, queue_us=20.0, boot_us=60.0)
     action = evaluate([a, b], walltime_us=100.0)
-    # In the paper's symbols: k is pool a, as 40 < 80; the cost is c = 2 * (30 + 100) + 1 * 60 and
-    # the time r = 20 * (1 + exp(1 - 1.5)) + 100.
+    # In the symbols of the CBRAIN paper (see mosswalk/factory/pareto.py), with run time e = 100 and
+    # slowdown phi = 1: the fastest pool k is a, as its delay q + b is 40 and that of b is 80.
+    # Cost: c = alpha_k * (b_k + phi * e) + the other pools' alpha * b = 2 * (30 + 100) + 1 * 60.
+    # Time: r = (q_k + b_k) / 2 * (1 + exp(1 - gain)) + phi * e, where the gain is the sum of the
+    # ratios of k's delay to each pool's, 40 / 40 + 40 / 80 = 1.5.
     assert action.cost == pytest.approx(320.0)
     assert action.time_us == pytest.approx(20 * (1 + math.exp(-0.5)) + 100)
-    # With a single pool, the gain is 1 and r = q + b + phi e.
+    # With a single pool, the gain is 1, so r = q + b + phi * e = 20 + 60 + 100.
     assert evaluate([b], 100.0).time_us == pytest.approx(180.0)
 
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -166,6 +166,7 @@
             return None
         from mosswalk.wire import state as wire
 
+        # The caller compares only versions; the value is a placeholder.
         return wire.Row(key, Raw(b"1"), self.store.rows[key][1])
 
 
--- a/tests/test_report_evaluation.py
+++ b/tests/test_report_evaluation.py
@@ -22,18 +22,21 @@
 
 
 def evaluate(
-    tasks=(), attempts=ATTEMPTS, session=2, term=7, stop_grace_s=None, machine=None, **changes
+    tasks=(), attempts=ATTEMPTS, session=2, term=7, stop_grace_s=None, machine=None, **options
 ):
-    """Evaluates a report in term 7; by default a periodic one, and tasks may be started."""
+    """Evaluates a report in term 7; by default a periodic one, and tasks may be started.
+
+    ``options`` override those of ``evaluate_report``. Attempts of every job are startable.
+    """
     report = Report("vm-1", "h:1", "small", "a", session, 50, term, tasks=tuple(tasks))
-    options = {"may_start": True, "is_periodic": True, **changes}
+    options = {"may_start": True, "is_periodic": True, **options}
     return evaluate_report(
         machine or make_machine(),
         report,
         attempts,
         7,
-        lambda *_: stop_grace_s,
-        lambda _: True,
+        stop_grace_s=lambda *_: stop_grace_s,
+        is_startable=lambda _: True,
         **options,
     )
 
