--- a/mosswalk/store/records.py
+++ b/mosswalk/store/records.py
@@ -189,8 +189,8 @@
     runs: dict[str, str] = {}
     # The version that every controller of this term supports; it never decreases.
     version: int = FIRST_VERSION
-    # Whether failure detection is in force: set in the first term for which all controllers took
-    # part in it, and never reset.
+    # Whether failure detection is in force: set by the first term for which all controllers took
+    # part in it, and kept in later terms unless their leader has detection off.
     detects: bool = False
     verdicts: tuple[Verdict, ...] = ()
 
