--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -1,4 +1,4 @@
-"""Old and new versions side by side, and on each other's data."""
+"""Old and new versions in one cluster, and each on data that the other wrote."""
 
 import asyncio
 
@@ -17,10 +17,10 @@
 from mosswalk.wire import state as wire
 from tests.fakes import RECORD_LIMITS, job_spec
 from tests.production import records as production
-from tests.test_wire import jobs
+from tests.test_wire import job_specs
 
-# As the version before gangs wrote them; each must be read, and written again, byte for byte.
-STORED = {
+# Records as the version before gangs wrote them. Each must be decoded and encoded byte for byte.
+STORED_RECORDS = {
     "JobRecord": b'{"s":{"ref":"j-000001","lane":"batch","owner":"red","shape":"array","rank":'
     b'"standard","pieces":4,"cores":1.0,"cards":0.0,"ram_gb":1.0,"bundle":"img","image_gb":1.0,'
     b'"same_place":false,"spread":false,"reclaimable":true,"expect_s":30.0,"savepoint_s":0.0,'
@@ -29,9 +29,9 @@
     "TaskChunk": b'{"d":"ff","a":[[300,12,"vm-000009",1,7]]}',
     "FinalRecord": b'{"p":"withdrawn","d":3}',
 }
-# What the version before gangs calls what has been renamed since.
-NAMES_THEN = {"PeerStatus": "Sight"}
-SENT = {
+# Names in the version before gangs of messages that have been renamed since.
+PREVIOUS_NAMES = {"PeerStatus": "Sight"}
+PEER_MESSAGES = {
     "Offer": peers.Offer(
         3,
         (peers.TeamOffer("red", (peers.MachineOffer("vm-1", "small", "a", True, 1, 5, 0, 9),)),),
@@ -45,24 +45,24 @@
 }
 
 
-@pytest.mark.parametrize("name", STORED)
+@pytest.mark.parametrize("name", STORED_RECORDS)
 def test_stored_records_keep_their_bytes(name):
-    for structs in (records, production):
-        read = msgspec.json.decode(STORED[name], type=getattr(structs, name))
-        assert records.encode(read) == STORED[name]
+    for module in (records, production):
+        decoded = msgspec.json.decode(STORED_RECORDS[name], type=getattr(module, name))
+        assert records.encode(decoded) == STORED_RECORDS[name]
 
 
-@pytest.mark.parametrize("name", SENT)
+@pytest.mark.parametrize("name", PEER_MESSAGES)
 def test_messages_between_controllers_keep_their_bytes(name):
-    body = msgspec.msgpack.encode(SENT[name])
-    read = msgspec.msgpack.decode(body, type=getattr(production, NAMES_THEN.get(name, name)))
-    assert msgspec.msgpack.encode(read) == body
-    assert msgspec.msgpack.decode(body, type=getattr(peers, name)) == SENT[name]
+    body = msgspec.msgpack.encode(PEER_MESSAGES[name])
+    decoded = msgspec.msgpack.decode(body, type=getattr(production, PREVIOUS_NAMES.get(name, name)))
+    assert msgspec.msgpack.encode(decoded) == body
+    assert msgspec.msgpack.decode(body, type=getattr(peers, name)) == PEER_MESSAGES[name]
 
 
-@given(jobs.filter(lambda job: job.kind != "group"), st.integers(1, 300), st.booleans())
-def test_a_job_goes_through_the_hands_of_both_versions_unchanged(job, chunk, withdrawn):
-    draft = Draft(Job(new_record(job, 5, chunk), 1), RECORD_LIMITS)
+@given(job_specs.filter(lambda job: job.kind != "group"), st.integers(1, 300), st.booleans())
+def test_job_record_passes_through_both_versions_unchanged(job, chunk_size, withdrawn):
+    draft = Draft(Job(new_record(job, 5, chunk_size), 1), RECORD_LIMITS)
     draft.place(Assignment(0, "vm-000001", 1), 3)
     change = draft.to_change({})
     if withdrawn:
@@ -74,7 +74,7 @@
     assert rewritten == value
 
 
-def test_the_old_version_reads_presences_and_terms_before_the_upgrade_only():
+def test_old_version_decodes_presences_and_terms_only_before_the_upgrade():
     presence = records.encode(Presence("a", "run", CURRENT_VERSION))
     assert production.decode(production.Presence, presence) == production.Presence("a", "run")
     old = production.encode(production.Presence("a", "run"))
@@ -88,40 +88,40 @@
     assert records.decode_term(production.encode(production.TermRecord(4, "a", {}))).version == 1
     upgraded = msgspec.structs.replace(term, version=GANG_VERSION)
     assert records.decode_term(records.encode_term(upgraded)) == upgraded
-    # It can't tell who leads or which version the term has: it neither stands nor owns a team.
+    # Without the leader and the term's version, the old version neither campaigns nor owns a team.
     with pytest.raises(msgspec.ValidationError):
         production.decode(production.TermRecord, records.encode_term(upgraded))
 
 
-presences = st.dictionaries(
+presence_maps = st.dictionaries(
     st.sampled_from("abc"),
     st.builds(Presence, st.just("x"), st.sampled_from("pq"), st.sampled_from([1, CURRENT_VERSION])),
 )
 
 
-@given(st.lists(presences, max_size=12))
-def test_the_upgrade_waits_for_all_and_is_never_taken_back(seen):
+@given(st.lists(presence_maps, max_size=12))
+def test_upgrade_waits_for_all_controllers_and_is_irreversible(presence_history):
     term = next_term(None, "a", {"a": "p"}, ["red", "blue"])
     upgraded = False
-    for present in seen:
+    for present in presence_history:
         all_new = set(present) == set("abc") and all(p.version > 1 for p in present.values())
         assert may_upgrade(term, "abc", present) == (all_new and not upgraded)
         version = CURRENT_VERSION if may_upgrade(term, "abc", present) else 1
         upgraded = upgraded or all_new
         runs = eligible_runs(term, {**present, "a": Presence("a", "p", CURRENT_VERSION)})
         if upgraded and term.version > 1:
-            # One of the old version that joins all the same gets no team and starts no new term.
+            # A controller of the old version that joins later gets no team and starts no new term.
             assert all(present[n].version > 1 for n in runs if n != "a")
         term = next_term(term, "a", runs, ["red", "blue"], version=version)
         assert (term.version > 1) == upgraded
         assert not needs_new_term(term, runs)
 
 
-def test_groups_wait_for_the_upgrade_and_are_told_so_at_once():
+def test_gang_submitted_before_the_upgrade_is_refused_with_retry_after():
     from tests.simulation import Simulation
     from tests.virtual_time import run_in_virtual_time
 
-    async def day() -> None:
+    async def scenario() -> None:
         region = Simulation(1)
         region.start()
         await asyncio.sleep(4.0)
@@ -131,21 +131,21 @@
         controller.job_service.gangs_allowed = lambda: False
         reply = await controller.job_service.submit(msgspec.json.encode(gang))
         assert reply.status == 503 and reply.retry_after_s
-        # A job that is known is told of all the same, however it is submitted again.
+        # Submitting a known job again is answered with its state even so.
         key = records.job_key(gang.id)
         value = Raw(records.encode(new_record(gang, 1, 8)))
         region.state.store.rows[key] = (bytes(value), 1, None)
         assert (await controller.job_service.submit(msgspec.json.encode(gang))).status == 200
 
-    run_in_virtual_time(day())
+    run_in_virtual_time(scenario())
 
 
-def test_a_controller_that_shows_the_old_version_holds_the_upgrade_back():
-    """One of three is old for a while; after it, the record stays through restarts of all."""
+def test_controller_with_old_version_delays_the_upgrade():
+    """One of three shows the old version at first; the later upgrade survives restarts of all."""
     from tests.simulation import Simulation
     from tests.virtual_time import run_in_virtual_time
 
-    async def day() -> None:
+    async def scenario() -> None:
         region = Simulation(2)
         region.start()
         region.kill_controller("moss-2")
@@ -162,8 +162,8 @@
             status, _ = await region.send_user_request("POST", "/api/jobs", gang, name)
             assert status == 503
         region.start_controller(region.controller_names[2])
-        await region.wait_until(lambda: version(region) == GANG_VERSION, 30.0)
-        assert version(region) == GANG_VERSION
+        await region.wait_until(lambda: term_version(region) == GANG_VERSION, 30.0)
+        assert term_version(region) == GANG_VERSION
         await asyncio.sleep(1.0)
         status, _ = await region.send_user_request(
             "POST", "/api/jobs", gang, region.controller_names[1]
@@ -174,9 +174,11 @@
         await asyncio.sleep(20.0)
         region.start_controller(region.controller_names[0])
         await region.wait_until(lambda: region.leader(), 20.0)
-        assert region.leader() == region.controller_names[0] and version(region) == GANG_VERSION
+        assert (
+            region.leader() == region.controller_names[0] and term_version(region) == GANG_VERSION
+        )
 
-    def version(region: Simulation) -> int:
+    def term_version(region: Simulation) -> int:
         return records.decode_term(region.state.store.rows[records.TERM_KEY][0]).version
 
-    run_in_virtual_time(day())
+    run_in_virtual_time(scenario())
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,3 +1,5 @@
+"""Encoding and decoding of messages, and validation of submitted jobs."""
+
 import json
 
 import msgspec
@@ -11,7 +13,7 @@
 
 amounts = st.floats(0, 1e6, allow_nan=False).map(lambda x: round(x, 3))
 names = st.text(min_size=1, max_size=20)
-jobs = st.builds(
+job_specs = st.builds(
     JobSpec,
     id=st.from_regex(r"j-[0-9]{6}", fullmatch=True),
     job_class=names,
@@ -35,7 +37,7 @@
     deadline_s=st.none() | amounts.map(lambda x: x + 1),
 )
 
-GOOD = {
+VALID_JOB = {
     "ref": "j-000412",
     "lane": "train",
     "owner": "vision",
@@ -59,23 +61,23 @@
 }
 
 
-@given(jobs, st.dictionaries(names.map(lambda n: "x-" + n), st.integers() | names, max_size=3))
-def test_jobs_survive_the_wire_and_unknown_fields_are_ignored(job, unknown):
+@given(job_specs, st.dictionaries(names.map(lambda n: "x-" + n), st.integers() | names, max_size=3))
+def test_job_round_trip_ignores_unknown_fields(job, unknown):
     body = json.loads(msgspec.json.encode(job))
     assert decode_job(json.dumps({**unknown, **body}).encode()) == job
 
 
-def test_the_protocols_example_is_understood_with_its_own_names():
-    job = decode_job(json.dumps(GOOD).encode())
+def test_protocol_example_is_decoded_by_its_wire_names():
+    job = decode_job(json.dumps(VALID_JOB).encode())
     assert (job.cpus, job.tasks, job.types, job.deadline_s) == (8.0, 16, ("g8",), 900.0)
-    absent = {k: v for k, v in GOOD.items() if k not in ("builds", "yard", "due_s")}
-    assert decode_job(json.dumps(absent).encode()).types is None
+    without_optional = {k: v for k, v in VALID_JOB.items() if k not in ("builds", "yard", "due_s")}
+    assert decode_job(json.dumps(without_optional).encode()).types is None
 
 
-@pytest.mark.parametrize("field", [k for k in GOOD if k not in ("builds", "yard", "due_s")])
-def test_a_missing_or_mistyped_field_is_refused(field):
-    missing = {k: v for k, v in GOOD.items() if k != field}
-    for body in (missing, {**GOOD, field: {"a": 1}}, {**GOOD, field: None}):
+@pytest.mark.parametrize("field", [k for k in VALID_JOB if k not in ("builds", "yard", "due_s")])
+def test_missing_or_mistyped_field_is_rejected(field):
+    missing = {k: v for k, v in VALID_JOB.items() if k != field}
+    for body in (missing, {**VALID_JOB, field: {"a": 1}}, {**VALID_JOB, field: None}):
         with pytest.raises(InvalidJobError):
             decode_job(json.dumps(body).encode())
 
@@ -103,27 +105,27 @@
         {"image_gb": float("inf")},
     ],
 )
-def test_senseless_values_are_refused(change):
+def test_invalid_value_is_rejected(change):
     with pytest.raises(InvalidJobError):
-        decode_job(json.dumps({**GOOD, **change}).encode())
+        decode_job(json.dumps({**VALID_JOB, **change}).encode())
 
 
 @given(
     st.binary(max_size=60)
     | st.recursive(st.integers() | names, st.lists).map(lambda x: json.dumps(x).encode())
 )
-def test_garbage_is_refused_and_never_anything_worse(body):
+def test_arbitrary_body_is_rejected_as_invalid_job(body):
     with pytest.raises(InvalidJobError):
         decode_job(body)
     assert peek_id(body) is None
 
 
-def test_the_id_of_a_malformed_submission_is_found():
+def test_id_of_malformed_submission_is_found():
     assert peek_id(b'{"ref":"j-000007","pieces":"many"}') == "j-000007"
     assert peek_id(b'{"ref":"j-7/../x"}') is None
 
 
-def test_a_report_with_words_we_do_not_know_is_still_understood():
+def test_report_with_unknown_phase_and_field_is_decoded():
     body = {
         "host": "vm-1",
         "addr": "h:1",
@@ -139,9 +141,9 @@
     assert not report.spot and report.spot_notice_s is None
 
 
-def test_peer_messages_survive_the_wire():
-    slot = MachineOffer("vm-1", "g8", "a", True, 3, 1000, 0, 2000, ("img",), 0.5)
-    offer = Offer(7, (TeamOffer("red", (slot,)),))
+def test_peer_message_round_trip_and_rejection_of_mistyped_message():
+    machine_offer = MachineOffer("vm-1", "g8", "a", True, 3, 1000, 0, 2000, ("img",), 0.5)
+    offer = Offer(7, (TeamOffer("red", (machine_offer,)),))
     assert msgspec.msgpack.decode(msgspec.msgpack.encode(offer), type=Offer) == offer
     with pytest.raises(msgspec.DecodeError):
         msgspec.msgpack.decode(msgspec.msgpack.encode({"term": "x"}), type=Outcomes)
