--- a/tests/test_authority.py
+++ b/tests/test_authority.py
@@ -1,4 +1,4 @@
-"""A controller that stood still acts on nothing before it has judged its authority anew."""
+"""A controller that was frozen takes no action before its authority has been confirmed again."""
 
 import asyncio
 import random
@@ -27,12 +27,12 @@
 from tests.loopback import StateService, free_port
 from tests.test_config import write_settings
 
-S = 1_000_000
+SECOND_US = 1_000_000
 WINDOW_US = 1_200_000
 
 
-class Node:
-    """A controller's leadership with its fence, on a store that others change."""
+class FencedController:
+    """A controller's leadership and commits behind a fence, on a store that others also write."""
 
     def __init__(self, tmp_path):
         self.store, self.clock = InMemoryStore(), FakeClock()
@@ -47,15 +47,15 @@
         self.leadership.authority = self.fence
         self.writer = GroupWriter(self.client, self.clock, random.Random(3), 100.0, 16)
         self.writer.gate = CommitGate(self.fence, self.mirror)
-        self.served = True
+        self.state_service_up = True
 
     async def renew(self, lease, _timeout_s):
-        if not self.served:
+        if not self.state_service_up:
             raise RefusedError("down")
         if lease not in self.store.leases:
             raise NoLeaseError
 
-    async def lead(self):
+    async def become_leader(self):
         self.leadership.lease = self.store.grant()
         await self.mirror._load()
         task = asyncio.create_task(self.leadership._campaign("test"))
@@ -67,7 +67,7 @@
         assert self.leadership.leads() and self.leadership.may_start_tasks()
 
     def depose(self):
-        """Another controller leads in the next term, which the mirror does not show yet."""
+        """Have another controller lead in the next term, which the mirror does not show yet."""
         self.store.end_lease(self.leadership.lease)
         term = records.TermRecord(2, "other", {"red": "other"}, {"other": "r"})
         other = records.encode(records.Presence("other", "r"))
@@ -80,210 +80,219 @@
     def freeze(self):
         self.clock.us += 2 * WINDOW_US
 
-    def change(self):
+    def make_change(self):
         guards = {records.TERM_KEY: self.leadership.term_version}
         return Change(guards, {"m/j/x": Raw(b"{}")})
 
 
 @pytest.fixture
-def node(tmp_path):
-    return Node(tmp_path)
+def controller(tmp_path):
+    return FencedController(tmp_path)
 
 
-def test_all_acts_are_withheld_at_once_whoever_asks_first(node):
+def test_all_authority_checks_fail_after_a_freeze_until_confirmation(controller):
     async def run():
-        await node.lead()
-        node.clock.us += WINDOW_US
-        assert node.leadership.may_start_tasks() and node.leadership.may_renew_worker_leases()
-        node.freeze()
-        assert not node.leadership.may_renew_worker_leases()
-        assert not node.leadership.may_start_tasks()
-        assert node.fence.freezes == 1
-        await node.fence.confirm()
-        assert node.leadership.may_renew_worker_leases()
+        await controller.become_leader()
+        controller.clock.us += WINDOW_US
+        assert (
+            controller.leadership.may_start_tasks()
+            and controller.leadership.may_renew_worker_leases()
+        )
+        controller.freeze()
+        assert not controller.leadership.may_renew_worker_leases()
+        assert not controller.leadership.may_start_tasks()
+        assert controller.fence.freezes == 1
+        await controller.fence.confirm()
+        assert controller.leadership.may_renew_worker_leases()
 
     asyncio.run(run())
 
 
-def test_one_that_was_deposed_finds_out_before_it_acts(node, caplog):
+def test_deposed_leader_loses_authority_at_confirmation(controller, caplog):
     async def run():
-        await node.lead()
-        node.depose()
-        node.freeze()
-        assert node.leadership.leads()
-        await node.fence.confirm()
-        assert not node.leadership.leads() and not node.leadership.may_renew_worker_leases()
-        assert node.leadership.lease is None
+        await controller.become_leader()
+        controller.depose()
+        controller.freeze()
+        assert controller.leadership.leads()
+        await controller.fence.confirm()
+        assert (
+            not controller.leadership.leads()
+            and not controller.leadership.may_renew_worker_leases()
+        )
+        assert controller.leadership.lease is None
 
     with caplog.at_level("INFO"):
         asyncio.run(run())
     assert "deposed while we stood still: led term 1, now other leads in term 2" in caplog.text
 
 
-def test_one_whose_lease_ended_does_not_lead_though_nobody_else_does(node):
+def test_controller_with_ended_lease_does_not_lead_even_without_successor(controller):
     async def run():
-        await node.lead()
-        node.store.end_lease(node.leadership.lease)
-        node.freeze()
-        await node.fence.confirm()
-        assert not node.leadership.leads() and node.leadership.leader() is None
+        await controller.become_leader()
+        controller.store.end_lease(controller.leadership.lease)
+        controller.freeze()
+        await controller.fence.confirm()
+        assert not controller.leadership.leads() and controller.leadership.leader() is None
 
     asyncio.run(run())
 
 
-@pytest.mark.parametrize("when", ["queued before", "decided after"])
-def test_a_commit_of_an_old_term_fails_unsent(node, when):
+@pytest.mark.parametrize("queued", ["before_freeze", "after_freeze"])
+def test_commit_of_an_old_term_fails_without_being_sent(controller, queued):
     async def run():
-        await node.lead()
-        running = asyncio.create_task(node.writer.run())
-        change, sent = node.change(), node.client.commit_count
-        if when == "queued before":
-            work = asyncio.create_task(node.writer.commit(change))
-            node.depose()
-            node.freeze()
+        await controller.become_leader()
+        writer_task = asyncio.create_task(controller.writer.run())
+        change, commits_before = controller.make_change(), controller.client.commit_count
+        if queued == "before_freeze":
+            commit_task = asyncio.create_task(controller.writer.commit(change))
+            controller.depose()
+            controller.freeze()
         else:
-            node.depose()
-            node.freeze()
-            work = asyncio.create_task(node.writer.commit(change))
+            controller.depose()
+            controller.freeze()
+            commit_task = asyncio.create_task(controller.writer.commit(change))
         with pytest.raises(ConflictError):
-            await work
-        assert node.client.commit_count == sent
-        running.cancel()
+            await commit_task
+        assert controller.client.commit_count == commits_before
+        writer_task.cancel()
 
     asyncio.run(run())
 
 
-def test_a_commit_with_no_answer_before_the_freeze_is_left_to_the_state_service(node):
+def test_commit_without_answer_before_the_freeze_is_sent_again_for_its_outcome(controller):
     async def run():
-        await node.lead()
-        running = asyncio.create_task(node.writer.run())
-        node.client.planned_results.append("blind")
-        work = asyncio.create_task(node.writer.commit(node.change()))
+        await controller.become_leader()
+        writer_task = asyncio.create_task(controller.writer.run())
+        controller.client.planned_results.append("blind")
+        commit_task = asyncio.create_task(controller.writer.commit(controller.make_change()))
         for _ in range(20):
             await asyncio.sleep(0)
-        assert node.client.commit_count == 2
-        node.depose()
-        node.freeze()
+        assert controller.client.commit_count == 2
+        controller.depose()
+        controller.freeze()
         with pytest.raises(ConflictError):
-            await work
-        # It was carried out the first time: only the state service could tell.
-        assert "m/j/x" in node.store.rows and node.client.commit_count == 3
-        running.cancel()
+            await commit_task
+        # The first copy was applied, which only the state service could tell.
+        assert "m/j/x" in controller.store.rows and controller.client.commit_count == 3
+        writer_task.cancel()
 
     asyncio.run(run())
 
 
-def test_one_that_still_leads_goes_on_with_what_was_queued(node):
+def test_leader_confirmed_after_a_freeze_sends_its_queued_commits(controller):
     async def run():
-        await node.lead()
-        running = asyncio.create_task(node.writer.run())
-        work = asyncio.create_task(node.writer.commit(node.change()))
-        node.freeze()
-        await work
-        assert "m/j/x" in node.store.rows
-        running.cancel()
+        await controller.become_leader()
+        writer_task = asyncio.create_task(controller.writer.run())
+        commit_task = asyncio.create_task(controller.writer.commit(controller.make_change()))
+        controller.freeze()
+        await commit_task
+        assert "m/j/x" in controller.store.rows
+        writer_task.cancel()
 
     asyncio.run(run())
 
 
-def test_users_are_refused_at_once_while_authority_cant_be_confirmed(node):
+def test_fail_fast_change_is_refused_while_authority_cannot_be_confirmed(controller):
     async def run():
-        await node.lead()
-        running = asyncio.create_task(node.writer.run())
-        node.freeze()
-        node.served = False
+        await controller.become_leader()
+        writer_task = asyncio.create_task(controller.writer.run())
+        controller.freeze()
+        controller.state_service_up = False
         change = Change({}, {"m/j/x": Raw(b"{}")}, fail_fast=True)
         with pytest.raises(RefusedError):
-            await node.writer.commit(change)
-        running.cancel()
+            await controller.writer.commit(change)
+        writer_task.cancel()
 
     asyncio.run(run())
 
 
-def test_in_an_outage_workers_are_kept_within_the_bound_but_nothing_starts(node):
+def test_outage_after_a_freeze_allows_bounded_lease_renewal_but_no_task_starts(controller):
     async def run():
-        await node.lead()
-        node.freeze()
-        node.served = False
-        assert not node.leadership.may_renew_worker_leases()
+        await controller.become_leader()
+        controller.freeze()
+        controller.state_service_up = False
+        assert not controller.leadership.may_renew_worker_leases()
         with pytest.raises(RefusedError):
-            await node.fence.confirm()
-        assert node.leadership.may_renew_worker_leases() and not node.leadership.may_start_tasks()
-        node.clock.us += node.leadership.max_unconfirmed_us
-        assert not node.leadership.may_renew_worker_leases()
+            await controller.fence.confirm()
+        assert (
+            controller.leadership.may_renew_worker_leases()
+            and not controller.leadership.may_start_tasks()
+        )
+        controller.clock.us += controller.leadership.max_unconfirmed_us
+        assert not controller.leadership.may_renew_worker_leases()
 
     asyncio.run(run())
 
 
-def test_no_term_is_stood_for_between_a_freeze_and_its_confirmation(node):
+def test_no_campaign_between_a_freeze_and_its_confirmation(controller):
     async def run():
-        await node.lead()
-        sent = node.client.commit_count
-        node.freeze()
+        await controller.become_leader()
+        commits_before = controller.client.commit_count
+        controller.freeze()
         with pytest.raises(RefusedError):
-            await node.leadership._campaign("test")
-        assert node.client.commit_count == sent
+            await controller.leadership._campaign("test")
+        assert controller.client.commit_count == commits_before
 
     asyncio.run(run())
 
 
-def test_a_second_freeze_while_confirming_needs_another_confirmation(node):
+def test_freeze_during_confirmation_requires_another_confirmation(controller):
     async def run():
-        await node.lead()
-        confirm, asked = node.leadership.confirm_authority, 0
+        await controller.become_leader()
+        confirm, confirmations = controller.leadership.confirm_authority, 0
 
-        async def slow():
-            nonlocal asked
-            asked += 1
+        async def confirm_with_freeze():
+            nonlocal confirmations
+            confirmations += 1
             await confirm()
-            if asked == 1:
-                node.freeze()
-                assert not node.fence.may_act()
+            if confirmations == 1:
+                controller.freeze()
+                assert not controller.fence.may_act()
 
-        node.fence._check = SimpleNamespace(confirm_authority=slow)
-        node.freeze()
-        await node.fence.confirm()
-        assert asked == 2 and node.fence.may_act()
+        controller.fence._check = SimpleNamespace(confirm_authority=confirm_with_freeze)
+        controller.freeze()
+        await controller.fence.confirm()
+        assert confirmations == 2 and controller.fence.may_act()
 
     asyncio.run(run())
 
 
-def test_the_second_half_of_a_rental_is_not_sent_by_one_that_was_deposed(node):
-    class Cloud:
+def test_deposed_leader_does_not_repeat_a_rental_request(controller):
+    class FailingCloud:
         def __init__(self):
-            self.asked = 0
+            self.request_count = 0
 
         async def rent(self, _request):
-            self.asked += 1
-            node.depose()
-            node.freeze()
+            self.request_count += 1
+            controller.depose()
+            controller.freeze()
             raise CloudError("no answer")
 
     async def run():
-        await node.lead()
-        cloud, told = Cloud(), []
+        await controller.become_leader()
+        cloud, results = FailingCloud(), []
         caller = CloudCaller(
             cloud,
-            node.clock,
+            controller.clock,
             random.Random(1),
             100.0,
-            told.append,
-            node.leadership.may_start_tasks,
-            node.leadership.may_renew_worker_leases,
+            results.append,
+            controller.leadership.may_start_tasks,
+            controller.leadership.may_renew_worker_leases,
         )
         await caller.rent((1,), ("small", "a", False))
-        # Not asked again under the same name: what it brought is the next leader's.
-        assert cloud.asked == 1 and told[0].machines == ()
+        # The request is not sent again under its name: the next leader takes what it rented.
+        assert cloud.request_count == 1 and results[0].machines == ()
 
     asyncio.run(run())
 
 
-class StateThread(threading.Thread):
-    """The state service on a loop of its own: the main one is held up by the test."""
+class StateServiceThread(threading.Thread):
+    """Runs the state service on its own event loop, since the test blocks the main thread."""
 
     def __init__(self):
         super().__init__(daemon=True)
-        self.service, self.ready, self.over = StateService(), threading.Event(), False
+        self.service, self.ready, self.stopping = StateService(), threading.Event(), False
         self.port = free_port()
 
     def run(self):
@@ -296,14 +305,14 @@
             self.lease = self.service.store.grant()
             self.service.lease_deadlines[self.lease] = (time.monotonic() + 1.0, 1.0)
             self.ready.set()
-            while not self.over:
+            while not self.stopping:
                 self.service.expire_leases()
                 await asyncio.sleep(0.02)
 
 
-@pytest.mark.parametrize("alive", [True, False])
-def test_the_lease_outlives_a_busy_loop_but_not_a_dead_one(alive):
-    state, clock = StateThread(), SystemClock()
+@pytest.mark.parametrize("loop_makes_progress", [True, False])
+def test_lease_is_renewed_for_a_busy_loop_but_not_for_a_dead_one(loop_makes_progress):
+    state, clock = StateServiceThread(), SystemClock()
     state.start()
     assert state.ready.wait(5)
     holder = SimpleNamespace(lease=state.lease, lease_renewed_at_us=clock.now_us())
@@ -313,14 +322,14 @@
     )
     renewer.start()
     assert renewer.max_lease_after_progress_us == 600_000 + 500_000 + 1_000_000
-    # The main loop does not renew; it is late, or has stopped altogether.
+    # The main loop renews nothing: it is busy, or has stopped altogether.
     for _ in range(30):
         time.sleep(0.1)
-        if alive:
+        if loop_makes_progress:
             progress.last_progress_at_us = clock.now_us()
-    assert (state.lease in state.service.lease_deadlines) is alive
+    assert (state.lease in state.service.lease_deadlines) is loop_makes_progress
     assert renewer.renewals > 0
     renewer.stop()
     renewer.join(5)
-    state.over = True
+    state.stopping = True
     state.join(5)
