--- a/tests/term_history.py
+++ b/tests/term_history.py
@@ -1,4 +1,4 @@
-"""Reads terms and presences off the state service's events, and checks how they follow."""
+"""Reads terms and presences from the state service's events, and checks their sequence."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 
 
 class TermHistory:
-    """The terms in the order in which they were committed, and when presences ended."""
+    """The terms with their revisions, in the order of their commits, and the ends of presences."""
 
     def __init__(self, events: list[dict[str, Any]]) -> None:
         self.terms: list[tuple[int, records.TermRecord]] = []
-        # The revisions at which a run's presence ended: it may come back with another lease.
-        self.ended: dict[tuple[str, str], list[int]] = {}
-        present: dict[str, str] = {}
+        # By node and run. A run has several if it came back with another lease.
+        self.presence_end_revisions: dict[tuple[str, str], list[int]] = {}
+        present_runs: dict[str, str] = {}
         for event in events:
             key = event.get("write") or event["delete"]
             if key.startswith(records.NODE_PREFIX):
                 node = key.removeprefix(records.NODE_PREFIX)
                 if "write" in event:
-                    present[node] = event["v"]["run"]
-                elif node in present:
-                    run = present.pop(node)
-                    self.ended.setdefault((node, run), []).append(event["stamp"])
+                    present_runs[node] = event["v"]["run"]
+                elif node in present_runs:
+                    run = present_runs.pop(node)
+                    self.presence_end_revisions.setdefault((node, run), []).append(event["stamp"])
             elif key == records.TERM_KEY:
                 term = records.decode_term(json.dumps(event["v"]).encode())
                 self.terms.append((event["stamp"], term))
@@ -34,25 +34,27 @@
         return [verdict for _, term in self.terms for verdict in term.verdicts]
 
     def check(self) -> None:
-        """Nothing moves before a verdict, and no verdict comes before its fence."""
-        for (_, before), (stamp, after) in itertools.pairwise(self.terms):
+        """Check that no team moves without a verdict, and no verdict precedes its lease's end."""
+        for (_, before), (revision, after) in itertools.pairwise(self.terms):
             assert after.term > before.term
             if before.detects and after.detects:
-                self._check_step(before, stamp, after)
+                self._check_transition(before, revision, after)
 
-    def _check_step(
-        self, before: records.TermRecord, stamp: int, after: records.TermRecord
+    def _check_transition(
+        self, before: records.TermRecord, revision: int, after: records.TermRecord
     ) -> None:
-        judged = {verdict.node for verdict in after.verdicts}
+        nodes_with_verdict = {verdict.node for verdict in after.verdicts}
         for verdict in after.verdicts:
             if verdict.reason != "cut_off":
-                assert min(self.ended[(verdict.node, verdict.run)]) <= stamp, verdict
-        assert before.runs.keys() - after.runs.keys() <= judged
+                assert min(self.presence_end_revisions[(verdict.node, verdict.run)]) <= revision, (
+                    verdict
+                )
+        assert before.runs.keys() - after.runs.keys() <= nodes_with_verdict
         if before.runs != after.runs or before.leader != after.leader:
-            # Somebody has come or gone, or leads: teams are spread anew.
+            # Controllers joined or left, or the leader changed: the teams are assigned anew.
             return
         for team, owner in before.owners.items():
-            heir = after.owners[team]
-            if heir != owner and owner not in judged:
-                # Only to one that had been left out and is usable again.
-                assert heir not in before.owners.values(), (before, after)
+            new_owner = after.owners[team]
+            if new_owner != owner and owner not in nodes_with_verdict:
+                # Teams move only to a controller that had been left out and can be used again.
+                assert new_owner not in before.owners.values(), (before, after)
