--- a/tests/test_detection_cluster.py
+++ b/tests/test_detection_cluster.py
@@ -1,4 +1,4 @@
-"""Failure detection in a region in virtual time: freezes, one-way loss, and what terms record."""
+"""Failure detection in a simulated region: freezes, one-way loss, verdicts and terms."""
 
 import asyncio
 import re
@@ -22,41 +22,45 @@
 from tests.virtual_time import run_in_virtual_time
 
 TTL_S = 6.0
+# Tuning with failure detection enabled.
 ON = Tuning(leadership=LeadershipTuning(ttl_s=TTL_S), detection=DetectionTuning())
 DETECTION = ON.detection
-SETTLED_S = 14.0
+SETTLE_S = 14.0
 
 
 def history(region):
     return TermHistory(region.state.store.events)
 
 
-def begin(test, count=3, tuning=ON, teams=None):
-    """Play a test in a region whose detection is in force."""
+def run_with_detection(test, controller_count=3, tuning=ON, teams=None):
+    """Run a test in a region whose failure detection is active."""
 
-    async def day():
+    async def scenario():
         region = Simulation(
-            7, controller_count=count, tuning=tuning, **({"teams": teams} if teams else {})
+            7,
+            controller_count=controller_count,
+            tuning=tuning,
+            **({"teams": teams} if teams else {}),
         )
         region.start()
-        await region.wait_until(lambda: in_force(region), 20.0)
-        await asyncio.sleep(SETTLED_S)
-        assert in_force(region)
+        await region.wait_until(lambda: detection_is_active(region), 20.0)
+        await asyncio.sleep(SETTLE_S)
+        assert detection_is_active(region)
         await test(region)
         assert region.violations == []
         history(region).check()
 
-    run_in_virtual_time(day())
+    run_in_virtual_time(scenario())
 
 
-def in_force(region):
-    found = [
+def detection_is_active(region):
+    active = [
         c.detector is not None and c.detector.is_active() for c, _ in region.controllers.values()
     ]
-    return bool(found) and all(found)
+    return bool(active) and all(active)
 
 
-def epoch(region):
+def term_number(region):
     return max(c.leadership.term_number() for c, _ in region.controllers.values())
 
 
@@ -72,30 +76,30 @@
     return controller(region, observer).detector._monitors[node]
 
 
-async def held(region, pairs, for_s):
-    over = asyncio.Event()
-    region.network.held_pairs.update(dict.fromkeys(pairs, over))
-    await asyncio.sleep(for_s)
+async def hold_pairs(region, pairs, duration_s):
+    released = asyncio.Event()
+    region.network.held_pairs.update(dict.fromkeys(pairs, released))
+    await asyncio.sleep(duration_s)
     for pair in pairs:
         region.network.held_pairs.pop(pair)
-    over.set()
+    released.set()
 
 
-def test_a_dead_leader_is_replaced_after_a_verdict_and_sooner_than_its_lease_would():
+def test_dead_leader_is_replaced_by_verdict_before_its_lease_ends():
     async def test(region):
-        leader, began, before = region.leader(), region.now(), epoch(region)
+        leader, started_at_s, term_before = region.leader(), region.now(), term_number(region)
         run = controller(region, leader).leadership.run_id
         region.kill_controller(leader)
         await region.wait_until(lambda: region.leader() not in (None, leader), 20.0)
-        assert region.now() - began < 0.75 * TTL_S
+        assert region.now() - started_at_s < 0.75 * TTL_S
         verdict = history(region).verdicts()[-1]
         assert (verdict.node, verdict.run, verdict.reason) == (leader, run, "quorum")
-        assert len(verdict.observers) == 2 and epoch(region) == before + 1
+        assert len(verdict.observers) == 2 and term_number(region) == term_before + 1
 
-    begin(test)
+    run_with_detection(test)
 
 
-def test_two_dead_of_five_are_judged_one_after_the_other():
+def test_two_dead_controllers_of_five_get_a_verdict_each():
     async def test(region):
         leader = region.leader()
         region.kill_controller(leader)
@@ -103,98 +107,100 @@
         await region.wait_until(lambda: len(history(region).verdicts()) == 2, 30.0)
         assert {v.reason for v in history(region).verdicts()} <= {"quorum", "lease"}
 
-    begin(test, count=5)
+    run_with_detection(test, controller_count=5)
 
 
-def test_one_that_is_back_gets_teams_though_another_stays_away():
+def test_restarted_controller_gets_teams_while_another_stays_away():
     async def test(region):
-        gone, back = follower(region), follower(region, 1)
+        gone, restarted = follower(region), follower(region, 1)
         region.kill_controller(gone)
-        region.kill_controller(back)
+        region.kill_controller(restarted)
         await asyncio.sleep(12.0)
-        region.start_controller(back)
-        await region.wait_until(lambda: back in history(region).terms[-1][1].owners.values(), 20.0)
-        assert back in history(region).terms[-1][1].owners.values()
+        region.start_controller(restarted)
+        await region.wait_until(
+            lambda: restarted in history(region).terms[-1][1].owners.values(), 20.0
+        )
+        assert restarted in history(region).terms[-1][1].owners.values()
         assert gone not in history(region).terms[-1][1].runs
 
-    begin(test)
+    run_with_detection(test)
 
 
-def test_a_quorum_that_cant_be_formed_leaves_it_to_the_lease():
+def test_without_quorum_verdicts_come_from_lease_expiry():
     async def test(region):
         for name in (region.leader(), follower(region)):
             region.kill_controller(name)
         await region.wait_until(lambda: region.leader() is not None, 30.0)
         assert [v.reason for v in history(region).verdicts()] == ["lease", "lease"]
 
-    begin(test)
+    run_with_detection(test)
 
 
-@pytest.mark.parametrize("who", ["leader", "owner"])
-@pytest.mark.parametrize("for_s", [0.9, 2.5, 3.5])
-def test_a_stall_below_the_windows_repeated_moves_nothing(who, for_s):
+@pytest.mark.parametrize("role", ["leader", "owner"])
+@pytest.mark.parametrize("stall_s", [0.9, 2.5, 3.5])
+def test_repeated_stalls_below_the_windows_change_no_term(role, stall_s):
     async def test(region):
-        name = region.leader() if who == "leader" else follower(region)
-        before = epoch(region)
+        name = region.leader() if role == "leader" else follower(region)
+        term_before = term_number(region)
         for _ in range(5):
-            await freeze_controller(region, name, for_s)
+            await freeze_controller(region, name, stall_s)
             await asyncio.sleep(8.0)
-        assert epoch(region) == before and not history(region).verdicts()
-        if for_s > DETECTION.floor_s + 1.0:
+        assert term_number(region) == term_before and not history(region).verdicts()
+        if stall_s > DETECTION.floor_s + 1.0:
             assert any(
                 state(region, o, name).suspicions for o in region.controller_names if o != name
             )
 
-    begin(test)
+    run_with_detection(test)
 
 
-def test_the_same_stalls_of_a_leader_cost_terms_without_detection():
-    async def day():
+def test_same_stalls_of_a_leader_change_terms_without_detection():
+    async def scenario():
         region = Simulation(7)
         region.start()
-        await asyncio.sleep(SETTLED_S)
-        before = epoch(region)
+        await asyncio.sleep(SETTLE_S)
+        term_before = term_number(region)
         for _ in range(5):
             await freeze_controller(region, region.leader(), 3.5)
             await asyncio.sleep(8.0)
-        assert epoch(region) > before
+        assert term_number(region) > term_before
 
-    run_in_virtual_time(day())
+    run_in_virtual_time(scenario())
 
 
-@pytest.mark.parametrize("who", ["leader", "owner"])
-def test_a_stall_beyond_the_windows_is_judged_once_and_the_rest_resumes_as_deposed(who):
+@pytest.mark.parametrize("role", ["leader", "owner"])
+def test_stall_beyond_the_windows_gets_one_verdict_and_controller_rejoins(role):
     async def test(region):
-        name = region.leader() if who == "leader" else follower(region)
-        before = epoch(region)
+        name = region.leader() if role == "leader" else follower(region)
+        term_before = term_number(region)
         await freeze_controller(region, name, 9.0)
         verdicts = history(region).verdicts()
         assert [v.node for v in verdicts] == [name]
         await asyncio.sleep(20.0)
         assert [v.node for v in history(region).verdicts()] == [name]
-        # One term without it, one when it is back.
-        assert epoch(region) <= before + 2
+        # One term without the controller, and one when it has rejoined.
+        assert term_number(region) <= term_before + 2
         assert name in history(region).terms[-1][1].runs
 
-    begin(test)
+    run_with_detection(test)
 
 
-def test_all_stalled_at_once_suspect_nobody():
+def test_simultaneous_stall_of_all_controllers_causes_no_suspicion():
     async def test(region):
-        before = epoch(region)
+        term_before = term_number(region)
         names = list(region.controller_names)
         await asyncio.gather(*(freeze_controller(region, name, 4.0) for name in names))
         await asyncio.sleep(10.0)
-        assert epoch(region) == before and not history(region).verdicts()
+        assert term_number(region) == term_before and not history(region).verdicts()
         assert not any(c.detector.metrics().suspicions for c, _ in region.controllers.values())
 
-    begin(test)
+    run_with_detection(test)
 
 
-def test_two_that_suspect_each_other_are_not_judged_and_the_leader_does_without():
+def test_mutual_suspicion_makes_the_leader_cut_off_the_other_without_quorum():
     async def test(region):
         leader, other = region.leader(), follower(region)
-        cut = asyncio.create_task(held(region, {(leader, other), (other, leader)}, 20.0))
+        cut = asyncio.create_task(hold_pairs(region, {(leader, other), (other, leader)}, 20.0))
         await region.wait_until(lambda: state(region, leader, other).suspected, 10.0)
         await region.wait_until(lambda: state(region, other, leader).suspected, 10.0)
         assert state(region, leader, other).state == "unheard"
@@ -206,34 +212,35 @@
         await region.wait_until(lambda: other in history(region).terms[-1][1].owners.values(), 60.0)
         assert other in history(region).terms[-1][1].owners.values()
 
-    begin(test)
+    run_with_detection(test)
 
 
 @pytest.mark.parametrize(
-    ("way", "here", "there"), [(0, "unhearing", "unheard"), (1, "unheard", "unhearing")]
+    ("direction", "leader_view", "other_view"),
+    [(0, "unhearing", "unheard"), (1, "unheard", "unhearing")],
 )
-def test_loss_in_one_direction_is_told_apart(way, here, there):
+def test_one_way_loss_is_distinguished_from_silence(direction, leader_view, other_view):
     async def test(region):
         leader, other = region.leader(), follower(region)
-        pair = (leader, other) if way == 0 else (other, leader)
-        cut = asyncio.create_task(held(region, {pair}, 12.0))
+        pair = (leader, other) if direction == 0 else (other, leader)
+        cut = asyncio.create_task(hold_pairs(region, {pair}, 12.0))
         await region.wait_until(lambda: state(region, leader, other).suspected, 10.0)
-        seen_here, seen_there = set(), set()
+        leader_views, other_views = set(), set()
         while not cut.done():
-            seen_here.add(state(region, leader, other).state)
-            seen_there.add(state(region, other, leader).state)
+            leader_views.add(state(region, leader, other).state)
+            other_views.add(state(region, other, leader).state)
             await asyncio.sleep(0.25)
-        # What is lost on the way back loses the answers too: never a quorum's silence.
-        assert "silent" not in seen_here | seen_there
-        assert here in seen_here or there in seen_there
+        # Loss in one direction loses answers too, but is never the silence that a quorum needs.
+        assert "silent" not in leader_views | other_views
+        assert leader_view in leader_views or other_view in other_views
         assert all(v.reason == "cut_off" for v in history(region).verdicts())
         assert region.leader() == leader
 
-    begin(test)
+    run_with_detection(test)
 
 
-def test_requests_that_never_arrive_are_noticed_though_answers_do():
-    """Only connections from the leader are refused; what the other one asks is answered."""
+def test_lost_requests_are_detected_although_answers_arrive():
+    """Only connections from the leader are refused; the other one's requests are answered."""
 
     async def test(region):
         leader, other = region.leader(), follower(region)
@@ -244,49 +251,49 @@
         region.network.refused_pairs.discard((leader, other))
         assert [(v.node, v.reason) for v in history(region).verdicts()] == [(other, "cut_off")]
 
-    begin(test)
+    run_with_detection(test)
 
 
-def test_a_link_that_flaps_costs_no_terms():
+def test_flapping_link_changes_no_term():
     async def test(region):
         leader, other = region.leader(), follower(region)
-        before = epoch(region)
+        term_before = term_number(region)
         for _ in range(10):
-            await held(region, {(leader, other), (other, leader)}, 3.0)
+            await hold_pairs(region, {(leader, other), (other, leader)}, 3.0)
             await asyncio.sleep(1.0)
         assert state(region, leader, other).suspicions
-        assert epoch(region) == before
+        assert term_number(region) == term_before
 
-    begin(test)
+    run_with_detection(test)
 
 
-def test_no_verdict_while_the_state_service_is_down():
+def test_no_verdict_during_a_state_service_outage():
     async def test(region):
         leader = region.leader()
         region.state.begin_outage()
-        began = len(history(region).terms)
+        terms_before = len(history(region).terms)
         region.kill_controller(leader)
         await asyncio.sleep(12.0)
         others = list(region.controllers)
         assert all(state(region, o, leader).state == "silent" for o in others)
-        assert len(history(region).terms) == began
+        assert len(history(region).terms) == terms_before
         assert not any(controller(region, o).detector.metrics().verdicts for o in others)
         region.state.end_outage()
         await region.wait_until(lambda: region.leader() is not None, 20.0)
         assert history(region).verdicts()[-1].node == leader
 
-    begin(test)
+    run_with_detection(test)
 
 
-def test_one_that_is_back_within_a_moment_while_suspected_is_not_judged():
+def test_suspected_controller_that_restarts_at_once_gets_no_verdict():
     async def test(region):
         name = follower(region)
-        over = asyncio.Event()
-        region.network.hung_hosts[name] = over
+        released = asyncio.Event()
+        region.network.hung_hosts[name] = released
         region.loop.frozen_callbacks.setdefault(name, [])
         await region.wait_until(lambda: state(region, region.leader(), name).suspected, 10.0)
         region.network.hung_hosts.pop(name)
-        over.set()
+        released.set()
         region.kill_controller(name)
         region.start_controller(name)
         await asyncio.sleep(6.0)
@@ -294,10 +301,10 @@
         assert not history(region).verdicts()
         assert history(region).terms[-1][1].runs[name] == controller(region, name).leadership.run_id
 
-    begin(test)
+    run_with_detection(test)
 
 
-def test_a_leader_without_state_service_and_peers_is_judged_and_fenced():
+def test_leader_cut_off_from_state_service_and_peers_is_fenced_by_quorum():
     async def test(region):
         leader = region.leader()
         pairs = {(leader, o) for o in region.controller_names if o != leader}
@@ -314,10 +321,10 @@
         await asyncio.sleep(8.0)
         assert region.leader() != leader
 
-    begin(test)
+    run_with_detection(test)
 
 
-def test_a_leader_apart_from_its_peers_alone_is_fenced_once_and_not_over_and_over():
+def test_leader_cut_off_from_its_peers_only_is_fenced_once():
     async def test(region):
         leader = region.leader()
         pairs = {(leader, o) for o in region.controller_names if o != leader}
@@ -326,47 +333,47 @@
         await asyncio.sleep(60.0)
         verdicts = [v for v in history(region).verdicts() if v.reason == "quorum"]
         assert [v.node for v in verdicts] == [leader]
-        before = epoch(region)
+        term_before = term_number(region)
         region.network.refused_pairs -= pairs
         await asyncio.sleep(40.0)
-        assert epoch(region) <= before + 1
+        assert term_number(region) <= term_before + 1
 
-    begin(test)
+    run_with_detection(test)
 
 
-def test_suspicion_gives_nothing_new_and_takes_nothing():
+def test_suspected_controller_keeps_its_teams_and_gets_no_new_offers():
     async def test(region):
         leader, other = region.leader(), follower(region)
         owners = history(region).terms[-1][1].owners
         team = next(team for team, owner in owners.items() if owner == other)
         await region.submit(job_spec("j-000001", team=team, tasks=2), 60.0, leader)
         await region.wait_until(lambda: len(region.running_on) == 2)
-        manager, offered = controller(region, leader).manager, []
-        send = manager._send_offer
+        manager, offered_to = controller(region, leader).manager, []
+        send_offer = manager._send_offer
 
-        def record(node, offer):
-            offered.append(node)
-            return send(node, offer)
+        def record_offer(node, offer):
+            offered_to.append(node)
+            return send_offer(node, offer)
 
-        manager._send_offer = record
-        cut = asyncio.create_task(held(region, {(leader, other), (other, leader)}, 3.4))
+        manager._send_offer = record_offer
+        cut = asyncio.create_task(hold_pairs(region, {(leader, other), (other, leader)}, 3.4))
         await region.wait_until(lambda: state(region, leader, other).suspected, 10.0)
         await region.submit(job_spec("j-000002", team=team, tasks=1), 20.0, leader)
         await asyncio.sleep(1.0)
-        assert state(region, leader, other).suspected and other not in offered
+        assert state(region, leader, other).suspected and other not in offered_to
         assert history(region).terms[-1][1].owners == owners
         await cut
         await region.wait_until(lambda: len(region.running_on) == 3, 60.0)
-        assert other in offered
+        assert other in offered_to
 
-    begin(test)
+    run_with_detection(test)
 
 
-ACTS = re.compile(r"/orders$|/machines$|/machines/release$|/commit$")
+ACTION_URLS = re.compile(r"/orders$|/machines$|/machines/release$|/commit$")
 
 
 def record_calls(region, calls):
-    """Note what controllers begin to send, in order."""
+    """Record each request of a controller as it is sent, in order."""
     original = region.network.call
 
     async def call(sender, method, url, body, timeout_s):
@@ -377,11 +384,11 @@
     region.network.call = call
 
 
-def is_act(call):
+def is_action(call):
     _, _, method, url, body = call
-    if method != "POST" or not ACTS.search(url):
+    if method != "POST" or not ACTION_URLS.search(url):
         return False
-    # A presence tells that a controller is up, and claims nothing.
+    # A presence only announces that a controller is up; it claims no authority.
     return not (url.endswith("/commit") and b'"write":"m/n/' in body)
 
 
@@ -392,8 +399,10 @@
     st.sampled_from(["leader", "owner"]),
     st.integers(0, 99),
 )
-def test_one_that_stood_still_acts_on_nothing_before_it_has_asked(at_s, for_s, who, seed):
-    async def day():
+def test_frozen_controller_takes_no_action_before_it_has_confirmed_its_authority(
+    freeze_at_s, freeze_s, role, seed
+):
+    async def scenario():
         region = Simulation(seed, tuning=ON)
         calls = []
         region.start()
@@ -402,40 +411,42 @@
         for i in range(16):
             job = job_spec(f"j-{i:06d}", tasks=3, team="red" if i % 2 else "blue")
             region.network.spawn(region.submit(job, 4.0))
-            if region.now() < at_s:
-                await asyncio.sleep(min(2.0, at_s - region.now()))
-        await asyncio.sleep(max(0.0, at_s - region.now()))
-        name = region.leader() if who == "leader" else follower(region)
+            if region.now() < freeze_at_s:
+                await asyncio.sleep(min(2.0, freeze_at_s - region.now()))
+        await asyncio.sleep(max(0.0, freeze_at_s - region.now()))
+        name = region.leader() if role == "leader" else follower(region)
         if name is None:
             return
-        await freeze_controller(region, name, for_s)
-        woke = region.now()
+        await freeze_controller(region, name, freeze_s)
+        resumed_at_s = region.now()
         await asyncio.sleep(6.0)
-        own = [call for call in calls if call[0] >= woke and call[1] == name]
-        asked = next((i for i, c in enumerate(own) if "starts=m/lead&" in c[3]), None)
-        assert asked is not None
-        assert not [call for call in own[:asked] if is_act(call)]
+        own_calls = [call for call in calls if call[0] >= resumed_at_s and call[1] == name]
+        confirmed_index = next(
+            (i for i, c in enumerate(own_calls) if "starts=m/lead&" in c[3]), None
+        )
+        assert confirmed_index is not None
+        assert not [call for call in own_calls[:confirmed_index] if is_action(call)]
         await asyncio.sleep(60.0)
         assert region.violations == []
         history(region).check()
 
-    run_in_virtual_time(day())
+    run_in_virtual_time(scenario())
 
 
-@pytest.mark.parametrize("meeting", FAULT_COMBINATIONS)
-def test_no_rule_breaks_with_detection_where(meeting):
-    troubles, jobs, seed = FAULT_COMBINATIONS[meeting]
-    region = run_scenario(seed, troubles, jobs, tuning=ON)
+@pytest.mark.parametrize("combination", FAULT_COMBINATIONS)
+def test_invariants_hold_with_detection_under_fault_combination(combination):
+    faults, job_count, seed = FAULT_COMBINATIONS[combination]
+    region = run_scenario(seed, faults, job_count, tuning=ON)
     assert region.violations == []
     assert region.counts["started"] > 20
     history(region).check()
 
 
-@pytest.mark.parametrize("pick", range(8))
-def test_no_rule_breaks_where_one_direction_is_lost_and_the_leader_stands_still(pick):
-    """To and from other controllers, the state service and the workers."""
-    troubles = [Fault(25.0, "one_way", 20.0, pick), Fault(33.0, "freeze", 7.0, 1)]
-    region = run_scenario(pick, troubles, tuning=ON)
+@pytest.mark.parametrize("selector", range(8))
+def test_invariants_hold_under_one_way_loss_and_a_frozen_leader(selector):
+    """The loss is to or from other controllers, the state service or the workers, by selector."""
+    faults = [Fault(25.0, "one_way", 20.0, selector), Fault(33.0, "freeze", 7.0, 1)]
+    region = run_scenario(selector, faults, tuning=ON)
     assert region.violations == []
     history(region).check()
 
@@ -461,18 +472,18 @@
     history(region).check()
 
 
-def test_nobody_is_judged_where_one_of_five_never_took_part():
-    async def day():
+def test_no_verdicts_while_one_of_five_controllers_has_detection_off():
+    async def scenario():
         region = Simulation(3, controller_count=5, tuning=ON)
-        usual, off = region.settings, structs.replace(ON, detection=None)
+        original_settings, without_detection = region.settings, structs.replace(ON, detection=None)
 
-        def mixed(name):
-            changed = {"tuning": off} if name == region.controller_names[-1] else {}
-            return structs.replace(usual(name), **changed)
+        def mixed_settings(name):
+            changed = {"tuning": without_detection} if name == region.controller_names[-1] else {}
+            return structs.replace(original_settings(name), **changed)
 
-        region.settings = mixed
+        region.settings = mixed_settings
         region.start()
-        await asyncio.sleep(SETTLED_S)
+        await asyncio.sleep(SETTLE_S)
         assert not any(term.detects for _, term in history(region).terms)
         gone = region.leader()
         region.kill_controller(gone)
@@ -481,10 +492,10 @@
         assert rest and all(c.detector._monitors[gone].suspected for c in rest)
         assert not any(c.detector.metrics().verdicts for c in rest)
 
-    run_in_virtual_time(day())
+    run_in_virtual_time(scenario())
 
 
-def test_a_silence_of_an_earlier_run_does_not_fence_the_present_one():
+def test_silence_of_an_earlier_run_does_not_fence_the_current_run():
     async def test(region):
         leader, name, third = region.leader(), follower(region), follower(region, 1)
         detector, peer = controller(region, leader).detector, state(region, leader, name)
@@ -497,10 +508,10 @@
         await asyncio.sleep(1.0)
         assert not detector.metrics().verdicts and not history(region).verdicts()
 
-    begin(test)
+    run_with_detection(test)
 
 
-def test_the_time_to_the_last_verdict_is_told_though_its_controller_was_judged_before():
+def test_time_to_verdict_is_updated_for_a_controller_with_an_earlier_verdict():
     async def test(region):
         leader = region.leader()
         detector = controller(region, leader).detector
@@ -512,21 +523,21 @@
             await detector._fence_off(peer, Verdict(name, peer.run, "quorum"), 1)
             assert detector.metrics().time_to_verdict_s == pytest.approx(age_s, abs=0.01)
 
-    begin(test)
+    run_with_detection(test)
 
 
-def test_one_without_detection_keeps_it_out_of_force_and_all_as_before():
-    async def day():
+def test_controller_restarted_without_detection_gets_no_verdict_and_jobs_finish():
+    async def scenario():
         region = Simulation(3, tuning=ON)
         region.tuning = ON
         region.start()
-        await region.wait_until(lambda: in_force(region), 20.0)
+        await region.wait_until(lambda: detection_is_active(region), 20.0)
         name = follower(region)
         region.kill_controller(name)
         region.tuning = structs.replace(ON, detection=None)
         region.start_controller(name)
         await asyncio.sleep(12.0)
-        # It may be off at one: that one is neither judged nor asked for its word.
+        # Detection may be off on one controller: it gets no verdict and has no vote.
         leader = region.leader()
         assert not state(region, leader, name).suspected
         assert controller(region, name).detector is None
@@ -537,4 +548,4 @@
         assert await region.poll("j-000001") == "done"
         assert region.violations == []
 
-    run_in_virtual_time(day())
+    run_in_virtual_time(scenario())
