--- a/mosswalk/leadership/actor.py
+++ b/mosswalk/leadership/actor.py
@@ -489,7 +489,7 @@
             await self._mirror.read_latest((records.TERM_KEY, records.LEADER_KEY))
         if was_leader and not self.leads():
             log.info(
-                "deposed while we stood still: led term %d, now %s leads in term %d",
+                "deposed while this process was frozen: led term %d, now %s leads in term %d",
                 term_number,
                 self.leader() or "nobody",
                 self.term_number(),
--- a/tests/test_authority.py
+++ b/tests/test_authority.py
@@ -123,7 +123,10 @@
 
     with caplog.at_level("INFO"):
         asyncio.run(run())
-    assert "deposed while we stood still: led term 1, now other leads in term 2" in caplog.text
+    assert (
+        "deposed while this process was frozen: led term 1, now other leads in term 2"
+        in caplog.text
+    )
 
 
 def test_controller_with_ended_lease_does_not_lead_even_without_successor(controller):
--- a/tests/test_detection_cluster.py
+++ b/tests/test_detection_cluster.py
@@ -18,7 +18,7 @@
 from tests.fault_injection import Fault, freeze_controller, run_scenario
 from tests.simulation import Simulation
 from tests.term_history import TermHistory
-from tests.test_meetings import FAULT_COMBINATIONS
+from tests.test_combined_faults import FAULT_COMBINATIONS
 from tests.virtual_time import run_in_virtual_time
 
 TTL_S = 6.0
@@ -72,7 +72,7 @@
     return [name for name in region.controller_names if name != region.leader()][index]
 
 
-def state(region, observer, node):
+def peer_monitor(region, observer, node):
     return controller(region, observer).detector._monitors[node]
 
 
@@ -148,7 +148,9 @@
         assert term_number(region) == term_before and not history(region).verdicts()
         if stall_s > DETECTION.floor_s + 1.0:
             assert any(
-                state(region, o, name).suspicions for o in region.controller_names if o != name
+                peer_monitor(region, o, name).suspicions
+                for o in region.controller_names
+                if o != name
             )
 
     run_with_detection(test)
@@ -201,10 +203,10 @@
     async def test(region):
         leader, other = region.leader(), follower(region)
         cut = asyncio.create_task(hold_pairs(region, {(leader, other), (other, leader)}, 20.0))
-        await region.wait_until(lambda: state(region, leader, other).suspected, 10.0)
-        await region.wait_until(lambda: state(region, other, leader).suspected, 10.0)
-        assert state(region, leader, other).state == "unheard"
-        assert state(region, other, leader).state == "unheard"
+        await region.wait_until(lambda: peer_monitor(region, leader, other).suspected, 10.0)
+        await region.wait_until(lambda: peer_monitor(region, other, leader).suspected, 10.0)
+        assert peer_monitor(region, leader, other).state == "unheard"
+        assert peer_monitor(region, other, leader).state == "unheard"
         await region.wait_until(lambda: history(region).verdicts(), 10.0)
         assert [(v.node, v.reason) for v in history(region).verdicts()] == [(other, "cut_off")]
         assert region.leader() == leader
@@ -224,11 +226,11 @@
         leader, other = region.leader(), follower(region)
         pair = (leader, other) if direction == 0 else (other, leader)
         cut = asyncio.create_task(hold_pairs(region, {pair}, 12.0))
-        await region.wait_until(lambda: state(region, leader, other).suspected, 10.0)
+        await region.wait_until(lambda: peer_monitor(region, leader, other).suspected, 10.0)
         leader_views, other_views = set(), set()
         while not cut.done():
-            leader_views.add(state(region, leader, other).state)
-            other_views.add(state(region, other, leader).state)
+            leader_views.add(peer_monitor(region, leader, other).state)
+            other_views.add(peer_monitor(region, other, leader).state)
             await asyncio.sleep(0.25)
         # Loss in one direction loses answers too, but is never the silence that a quorum needs.
         assert "silent" not in leader_views | other_views
@@ -245,8 +247,8 @@
     async def test(region):
         leader, other = region.leader(), follower(region)
         region.network.refused_pairs.add((leader, other))
-        await region.wait_until(lambda: state(region, leader, other).suspected, 10.0)
-        assert state(region, leader, other).state == "unhearing"
+        await region.wait_until(lambda: peer_monitor(region, leader, other).suspected, 10.0)
+        assert peer_monitor(region, leader, other).state == "unhearing"
         await region.wait_until(lambda: history(region).verdicts(), 10.0)
         region.network.refused_pairs.discard((leader, other))
         assert [(v.node, v.reason) for v in history(region).verdicts()] == [(other, "cut_off")]
@@ -261,7 +263,7 @@
         for _ in range(10):
             await hold_pairs(region, {(leader, other), (other, leader)}, 3.0)
             await asyncio.sleep(1.0)
-        assert state(region, leader, other).suspicions
+        assert peer_monitor(region, leader, other).suspicions
         assert term_number(region) == term_before
 
     run_with_detection(test)
@@ -275,7 +277,7 @@
         region.kill_controller(leader)
         await asyncio.sleep(12.0)
         others = list(region.controllers)
-        assert all(state(region, o, leader).state == "silent" for o in others)
+        assert all(peer_monitor(region, o, leader).state == "silent" for o in others)
         assert len(history(region).terms) == terms_before
         assert not any(controller(region, o).detector.metrics().verdicts for o in others)
         region.state.end_outage()
@@ -291,13 +293,13 @@
         released = asyncio.Event()
         region.network.hung_hosts[name] = released
         region.loop.frozen_callbacks.setdefault(name, [])
-        await region.wait_until(lambda: state(region, region.leader(), name).suspected, 10.0)
+        await region.wait_until(lambda: peer_monitor(region, region.leader(), name).suspected, 10.0)
         region.network.hung_hosts.pop(name)
         released.set()
         region.kill_controller(name)
         region.start_controller(name)
         await asyncio.sleep(6.0)
-        assert not state(region, region.leader(), name).suspected
+        assert not peer_monitor(region, region.leader(), name).suspected
         assert not history(region).verdicts()
         assert history(region).terms[-1][1].runs[name] == controller(region, name).leadership.run_id
 
@@ -357,10 +359,10 @@
 
         manager._send_offer = record_offer
         cut = asyncio.create_task(hold_pairs(region, {(leader, other), (other, leader)}, 3.4))
-        await region.wait_until(lambda: state(region, leader, other).suspected, 10.0)
+        await region.wait_until(lambda: peer_monitor(region, leader, other).suspected, 10.0)
         await region.submit(job_spec("j-000002", team=team, tasks=1), 20.0, leader)
         await asyncio.sleep(1.0)
-        assert state(region, leader, other).suspected and other not in offered_to
+        assert peer_monitor(region, leader, other).suspected and other not in offered_to
         assert history(region).terms[-1][1].owners == owners
         await cut
         await region.wait_until(lambda: len(region.running_on) == 3, 60.0)
@@ -498,12 +500,12 @@
 def test_silence_of_an_earlier_run_does_not_fence_the_current_run():
     async def test(region):
         leader, name, third = region.leader(), follower(region), follower(region, 1)
-        detector, peer = controller(region, leader).detector, state(region, leader, name)
+        detector, peer = controller(region, leader).detector, peer_monitor(region, leader, name)
         peer.run, peer.state, peer.refused = "earlier", "silent", True
         row = LinkRow(name, "earlier", "silent", 9000, True)
         now_us = detector._clock.now_us()
-        word = ReceivedHeartbeat(Heartbeat(third, "run", False, (row,)), now_us)
-        detector._heartbeats.received[third] = word
+        heartbeat = ReceivedHeartbeat(Heartbeat(third, "run", False, (row,)), now_us)
+        detector._heartbeats.received[third] = heartbeat
         detector._evaluate_peer(peer, now_us + 10_000_000, 0)
         await asyncio.sleep(1.0)
         assert not detector.metrics().verdicts and not history(region).verdicts()
@@ -518,7 +520,7 @@
         detector._client = SimpleNamespace(end_lease=lambda _lease: asyncio.sleep(0))
         names = [follower(region), follower(region, 1), follower(region)]
         for age_s, name in zip((5, 4, 9), names, strict=True):
-            peer = state(region, leader, name)
+            peer = peer_monitor(region, leader, name)
             peer.last_heard_at_us = detector._clock.now_us() - age_s * 1_000_000
             await detector._fence_off(peer, Verdict(name, peer.run, "quorum"), 1)
             assert detector.metrics().time_to_verdict_s == pytest.approx(age_s, abs=0.01)
@@ -539,7 +541,7 @@
         await asyncio.sleep(12.0)
         # Detection may be off on one controller: it gets no verdict and has no vote.
         leader = region.leader()
-        assert not state(region, leader, name).suspected
+        assert not peer_monitor(region, leader, name).suspected
         assert controller(region, name).detector is None
         region.kill_controller(leader)
         await region.wait_until(lambda: region.leader() is not None, 20.0)
--- a/tests/test_gang_days.py
+++ b/tests/test_gang_faults.py
@@ -1,11 +1,11 @@
-"""Faults while gangs run: single kinds, and the combinations of test_meetings.py."""
+"""Faults while gangs run: single kinds, and the combinations of test_combined_faults.py."""
 
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
 from tests.fault_injection import JOB_KINDS_WITH_GANGS, Fault, run_scenario
-from tests.test_meetings import FAULT_COMBINATIONS, fault_combinations
+from tests.test_combined_faults import FAULT_COMBINATIONS, fault_combinations
 
 # Each has its faults and its seed.
 GANG_FAULTS = {
