--- a/mosswalk/cli/__init__.py
+++ b/mosswalk/cli/__init__.py
@@ -1,7 +1,7 @@
-"""The command line: run a controller, check its settings, and talk to one as a user.
+"""The command line: run a controller, check its settings, or send requests to one as a user.
 
-Exit codes: 0 done; 1 the service said no (malformed, can never run, unknown job); 2 the command
-or the settings can't be used; 3 the service can't be reached or can't answer now.
+Exit codes: 0 success; 1 the service rejected the request (malformed, can never run, unknown job);
+2 the command or the settings are invalid; 3 the service is unreachable or unavailable.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
     for name, text in (
         ("serve", "run a controller until it is killed"),
-        ("check", "check settings and say what is wrong with them"),
+        ("check", "check the settings and report the first error in them"),
     ):
         command = commands.add_parser(name, help=text, description=text)
         command.add_argument("--config", required=True, type=Path, help="the platform's TOML file")
@@ -41,10 +41,13 @@
     withdraw = commands.add_parser("withdraw", help="cancel a job")
     for command in (status, withdraw):
         command.add_argument("job", help="the job's id, like j-000412")
-    peers = commands.add_parser("peers", help="show who reaches whom, and who is suspected")
+    peers = commands.add_parser("peers", help="show links between controllers and suspicions")
     for command in (submit, status, withdraw, peers):
         command.add_argument(
-            "--server", required=True, metavar="HOST:PORT", help="a controller's serve_on"
+            "--server",
+            required=True,
+            metavar="HOST:PORT",
+            help="a controller's address: its setting serve_on",
         )
     return parser
 
@@ -61,15 +64,15 @@
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Run a command; its exit code."""
+    """Run a command; return its exit code."""
     options = _parser().parse_args(arguments)
     if options.command == "check":
         return _check(options.config, options.operator_config)
     if options.command == "serve":
         from mosswalk.cli.serve import main as serve
 
-        more = ["--operator-config", str(options.operator_config)]
-        return serve(["--config", str(options.config), *(more if options.operator_config else [])])
+        extra = ["--operator-config", str(options.operator_config)]
+        return serve(["--config", str(options.config), *(extra if options.operator_config else [])])
     from mosswalk.cli import client
 
     return asyncio.run(client.run(options))
--- a/mosswalk/fleet/follower_reports.py
+++ b/mosswalk/fleet/follower_reports.py
@@ -1,6 +1,7 @@
-"""What a controller that does not lead answers to workers.
+"""Answers of a controller that does not lead to the reports of workers.
 
-Mostly it sends them on to the leader. Where nobody else can, it keeps their tasks alive.
+Workers are redirected to the leader. If no other controller can renew their leases, this one does,
+to keep their tasks running.
 """
 
 from __future__ import annotations
@@ -13,62 +14,78 @@
 from mosswalk.actors import SECOND_US, Clock, to_us
 from mosswalk.config import WorkerLimits
 from mosswalk.fleet.recent_workers import RecentWorkers
-from mosswalk.fleet.report_evaluation import kills_of_closed
+from mosswalk.fleet.report_evaluation import kill_commands_for_closed_jobs
 from mosswalk.jobs.registry import JobRegistry
 from mosswalk.leadership.actor import Leadership
 from mosswalk.wire.workers import Redirect, Report, ReportAnswer
 
 log = logging.getLogger(__name__)
 
-# The leader asks each second or two how many workers came.
-_ASKED_US = 2 * SECOND_US
+# The longest time between two polls in which the leader asks its followers how many workers have
+# reported to them: ``peers.health`` pauses for 1 s and waits up to 1 s for the answers. This value
+# does not control the polls.
+_MAX_LEADER_POLL_INTERVAL_US = 2 * SECOND_US
 
 
 class FollowerReports:
-    """Answers reports while another controller leads, or while this one may not answer."""
+    """Answers reports while another controller leads, or this leader may not renew leases."""
 
     def __init__(
         self, limits: WorkerLimits, registry: JobRegistry, leadership: Leadership, clock: Clock
     ) -> None:
         self._registry = registry
         self._leadership = leadership
-        # Long enough that the leader misses none of them.
-        self.recent_workers = RecentWorkers(_ASKED_US + to_us(limits.report_s), clock)
-        # Workers sent to the leader within a lease: one that comes back was not answered there.
-        self._sent_on = RecentWorkers(to_us(limits.lease_s), clock)
-        # Whether no leader can be reached from here, nor anybody who could name one.
-        self.left_alone: Callable[[], bool] = lambda: False
-        # Whether the state service serves nobody who can be reached.
-        self.nobody_served: Callable[[], bool] = lambda: False
-        self._keeps = False
+        # Workers that reported here recently, which the leader asks for. The window spans the
+        # interval between two polls and that between two reports, so that no worker is missed.
+        self.recent_workers = RecentWorkers(
+            _MAX_LEADER_POLL_INTERVAL_US + to_us(limits.report_s), clock
+        )
+        # Workers redirected within the last lease duration. If one of them reports here again, the
+        # leader has not answered it.
+        self._redirected = RecentWorkers(to_us(limits.lease_s), clock)
+        # Whether this controller knows no leader that it can reach, and reaches no controller that
+        # could name a new one.
+        self.no_leader_reachable: Callable[[], bool] = lambda: False
+        # Whether the state service serves neither this controller nor any that it can reach.
+        self.no_peer_reaches_state_service: Callable[[], bool] = lambda: False
+        self._renews_leases = False
 
     def answer(self, report: Report) -> tuple[int, bytes]:
-        """The status and the body of the answer to a report."""
-        if self._may_keep(report):
-            orders = tuple(kills_of_closed(report, self._registry.jobs))
-            return 200, msgspec.json.encode(ReportAnswer(self._leadership.epoch(), orders))
+        """Return status and body of the answer to a report."""
+        if self._may_renew_lease(report):
+            commands = tuple(kill_commands_for_closed_jobs(report, self._registry.jobs))
+            return 200, msgspec.json.encode(ReportAnswer(self._leadership.term_number(), commands))
+        # The leader asks for the count of the first; the second shows this controller whether a
+        # worker comes back after it was sent away.
         self.recent_workers.record(report.machine)
-        self._sent_on.record(report.machine)
-        return self._refusal()
+        self._redirected.record(report.machine)
+        return self._redirect_or_reject()
 
-    def _refusal(self) -> tuple[int, bytes]:
+    def _redirect_or_reject(self) -> tuple[int, bytes]:
+        """Redirect to the leader (421), or reject (503) if no other controller is known to lead."""
         leader = self._leadership.leader()
         if leader is not None and leader != self._leadership.node:
             return 421, msgspec.json.encode(Redirect(leader))
         return 503, b'{"error":"not entitled to answer"}'
 
-    def _may_keep(self, report: Report) -> bool:
-        """Whether to keep a machine's tasks alive although another controller leads.
+    def _may_renew_lease(self, report: Report) -> bool:
+        """Whether to renew a worker's lease although this controller does not lead.
 
-        In a zone that is cut off nobody else can; and in an outage of the state service a leader
-        that the workers can't reach is not able to hand over. A worker that has seen a higher
-        epoch would drop our answer and stay with us until its lease ends, so it is sent on.
+        In a partitioned zone no other controller can, and in an outage of the state service a
+        leader that the workers can't reach is unable to hand over. A worker that has seen a higher
+        term is redirected: it would discard the answer and go on reporting here until its lease
+        ends.
         """
-        may_keep = self.nobody_served() and self._leadership.may_keep()
-        keeps = may_keep and (self.left_alone() or self._sent_on.knows(report.machine))
-        if keeps and not self._keeps:
-            log.info("workers are kept alive here")
-        elif self._keeps and not may_keep:
-            log.info("workers are kept alive no more")
-        self._keeps = may_keep and (keeps or self._keeps)
-        return keeps and report.epoch <= self._leadership.epoch()
+        may_renew = (
+            self.no_peer_reaches_state_service()
+            and self._leadership.may_renew_worker_leases_as_follower()
+        )
+        renews = may_renew and (
+            self.no_leader_reachable() or self._redirected.contains(report.machine)
+        )
+        if renews and not self._renews_leases:
+            log.info("renewing worker leases as a follower")
+        elif self._renews_leases and not may_renew:
+            log.info("no longer renewing worker leases as a follower")
+        self._renews_leases = may_renew and (renews or self._renews_leases)
+        return renews and report.term <= self._leadership.term_number()
--- a/mosswalk/fleet/messages.py
+++ b/mosswalk/fleet/messages.py
@@ -1,42 +1,46 @@
-"""What the leader's actor is told."""
+"""Messages to the fleet manager."""
 
 from __future__ import annotations
 
 from msgspec import Struct
 
-from mosswalk.cloud.actor import CloudNews
+from mosswalk.cloud.actor import CloudResult
 from mosswalk.wire.peers import OfferAnswer
 from mosswalk.wire.workers import Report
 
 
-class PushDone(Struct):
-    """What became of orders sent to a worker's own address."""
+class DirectCommandsDone(Struct):
+    """A POST /orders request to a worker has ended.
+
+    ``sent`` is false if no connection was made. ``report`` is the worker's answer, or None if
+    none was received.
+    """
 
     machine: str
-    epoch: int
-    tenure: int
+    term: int
+    session: int
     starts: tuple[tuple[str, int], ...]
     sent: bool
     report: Report | None
 
 
 class OfferDone(Struct):
-    """An owner has placed on an offer, or has not been heard of."""
+    """A team owner has answered an offer; without an answer, the request failed."""
 
     node: str
     answer: OfferAnswer | None
 
 
 class Plan(Struct):
-    """Time to look at what waits and what is free."""
+    """Requests new offers to the team owners."""
 
 
 class Tick(Struct):
-    """Time for what happens on its own."""
+    """Requests the periodic work."""
 
 
-class TermBegan(Struct):
+class TermChanged(Struct):
     """The term record has changed."""
 
 
-Message = PushDone | OfferDone | Plan | Tick | TermBegan | CloudNews
+Message = DirectCommandsDone | OfferDone | Plan | Tick | TermChanged | CloudResult
--- a/mosswalk/fleet/report_evaluation.py
+++ b/mosswalk/fleet/report_evaluation.py
@@ -1,4 +1,4 @@
-"""What a report means for the records, and what to order in answer: pure decisions."""
+"""Compares a report with the records: outcomes of attempts and commands for the worker."""
 
 from __future__ import annotations
 
@@ -8,43 +8,44 @@
 
 from mosswalk.fleet.inventory import Machine
 from mosswalk.jobs.registry import AttemptKey
-from mosswalk.jobs.state import Job, split_task_name, task_name
+from mosswalk.jobs.state import Job, parse_task_name, task_name
 from mosswalk.store.records import Attempt
 from mosswalk.wire.peers import Outcome, OutcomeKind
-from mosswalk.wire.workers import Order, Report
+from mosswalk.wire.workers import Command, Report
 
-_FATES: dict[str, OutcomeKind] = {
+# Outcome of an attempt by the cause of its exit; a cause not listed here means refused.
+_OUTCOME_BY_CAUSE: dict[str, OutcomeKind] = {
     "done": "done",
     "stopped": "stopped",
     "error": "error",
     "full": "refused",
     "in_use": "refused",
     "no_such": "refused",
-    # A gang's task that ended because of the others: not its machine's fault, nor its job's.
+    # A task of a gang that ended because of the others: no fault of its machine or job.
     "mates_gone": "stopped",
     "alone": "stopped",
 }
 
 
 class Evaluation(Struct):
-    """Orders for the worker, and outcomes for the records."""
+    """Commands for the worker, and outcomes for the records."""
 
-    orders: list[Order] = field(default_factory=list)
+    commands: list[Command] = field(default_factory=list)
     outcomes: list[Outcome] = field(default_factory=list)
-    alive: int = 0
+    live_tasks: int = 0
 
 
-def kills_of_closed(report: Report, jobs: Mapping[str, Job]) -> list[Order]:
-    """Orders to end all tasks of a report whose job is not known to be open.
+def kill_commands_for_closed_jobs(report: Report, jobs: Mapping[str, Job]) -> list[Command]:
+    """Commands to kill all tasks of a report whose job is not known to be open.
 
-    All that may be ordered by one that does not lead: ending such a task is right whoever leads.
+    These are the only commands that a follower may send: such tasks must end whoever leads.
     """
-    kills: list[Order] = []
+    kills: list[Command] = []
     for task in report.tasks:
-        split = split_task_name(task.task)
-        job = jobs.get(split[0]) if split is not None else None
+        parsed_name = parse_task_name(task.task)
+        job = jobs.get(parsed_name[0]) if parsed_name is not None else None
         if task.phase != "exited" and (job is None or not job.open):
-            kills.append(Order("kill", task.task, task.attempt, 0.0))
+            kills.append(Command("kill", task.task, task.attempt, 0.0))
     return kills
 
 
@@ -52,67 +53,68 @@
     machine: Machine,
     report: Report,
     attempts: Mapping[AttemptKey, Attempt],
-    epoch: int,
-    stop_grace: Callable[[str, int, int], float | None],
-    startable: Callable[[str], bool],
+    term: int,
+    stop_grace_s: Callable[[str, int, int], float | None],
+    is_startable: Callable[[str], bool],
     *,
     may_start: bool,
-    in_answer: bool,
+    is_periodic: bool,
 ) -> Evaluation:
     """Compare a report with the records.
 
-    ``stop_grace`` gives the grace with which an attempt is to be stopped, or None if it is to
-    run. ``startable`` tells whether a job's attempts may be started: not those of a gang that is
-    not recorded whole. ``in_answer`` is false for the answer to /orders: such a report may have
-    been made before the worker carried out our last answer to its own report, so what it does
-    not list may be about to start.
+    ``stop_grace_s`` returns the grace period of an attempt that is to be stopped, or None if it is
+    to run. ``is_startable`` tells whether the attempts of a job may be started, which is not so for
+    a gang that is only partly recorded. ``is_periodic`` is false for the answer to /orders: it may
+    have been made before the worker executed the commands in the answer to its last periodic
+    report, so tasks that it does not list may be about to start.
     """
     result = Evaluation()
     listed: set[AttemptKey] = set()
     for task in report.tasks:
-        split = split_task_name(task.task)
-        if split is None:
+        parsed_name = parse_task_name(task.task)
+        if parsed_name is None:
             continue
-        key = (*split, task.attempt)
+        key = (*parsed_name, task.attempt)
         listed.add(key)
         attempt = attempts.get(key)
         if task.phase == "exited":
             if attempt is not None:
-                kind = _FATES.get(task.cause or "", "refused")
+                kind = _OUTCOME_BY_CAUSE.get(task.cause or "", "refused")
                 result.outcomes.append(Outcome(task.task, task.attempt, machine.name, kind))
-            elif not machine.may_run_late((task.task, task.attempt), epoch):
-                # Reaped only once the record shows the outcome, and only if no start of ours
-                # is still on the way: the worker would know nothing and run it once more.
-                result.orders.append(Order("reap", task.task, task.attempt))
+            elif not machine.may_still_start((task.task, task.attempt), term):
+                # Reaped only once the record shows the outcome, and only if no start command is
+                # in flight: the worker would not remember the attempt and would run it again.
+                result.commands.append(Command("reap", task.task, task.attempt))
             continue
-        result.alive += 1
+        result.live_tasks += 1
         if attempt is None:
-            # No record of it: nothing may count on it, and another attempt may be placed.
-            result.orders.append(Order("kill", task.task, task.attempt, 0.0))
+            # Without a record, nothing relies on the attempt, and another one may be placed.
+            result.commands.append(Command("kill", task.task, task.attempt, 0.0))
             continue
-        grace = stop_grace(*key)
-        if grace is None:
+        grace_s = stop_grace_s(*key)
+        if grace_s is None:
             continue
-        if task.phase == "saving" and grace > 0:
+        if task.phase == "saving" and grace_s > 0:
             continue
-        result.orders.append(Order("kill", task.task, task.attempt, grace))
+        result.commands.append(Command("kill", task.task, task.attempt, grace_s))
     for key, attempt in attempts.items():
         if key in listed:
             continue
         name = task_name(key[0], key[1])
-        if attempt.tenure < report.tenure:
-            # The session it was started in is over, and everything in it was killed.
+        if attempt.session < report.session:
+            # The worker has begun a new session, so all attempts of earlier ones were killed.
             result.outcomes.append(Outcome(name, key[2], machine.name, "lost"))
-        elif attempt.tenure == report.tenure:
-            if stop_grace(*key) is None:
-                if may_start and startable(key[0]):
-                    result.orders.append(Order("run", name, key[2]))
+        elif attempt.session == report.session:
+            if stop_grace_s(*key) is None:
+                if may_start and is_startable(key[0]):
+                    result.commands.append(Command("run", name, key[2]))
             elif (
-                in_answer
-                and report.epoch >= epoch
-                and not machine.may_run_late((name, key[2]), epoch)
+                is_periodic
+                and report.term >= term
+                and not machine.may_still_start((name, key[2]), term)
             ):
-                # Not there, no order of an earlier epoch can start it any more, ours came in
-                # answers that were carried out or dropped before this report was made.
+                # The task does not run and won't start. The worker rejects commands of earlier
+                # terms, and those of this term came in answers that it executed or lost before it
+                # made this report.
                 result.outcomes.append(Outcome(name, key[2], machine.name, "lost"))
     return result
--- a/tests/standins.py
+++ b/tests/fakes.py
@@ -1,4 +1,7 @@
-"""Stand-ins for the outside systems, written from their published protocol."""
+"""Fakes of the clock and the state service, and builders of test data.
+
+The state service is written from its published protocol.
+"""
 
 from __future__ import annotations
 
@@ -15,12 +18,12 @@
 from mosswalk.wire.cloud import MachineType
 from mosswalk.wire.users import JobSpec
 
-# What the records of tests may take.
-LIMITS = RecordLimits(16 * 1024, 16)
+# Limits that tests use for the records in the state service.
+RECORD_LIMITS = RecordLimits(16 * 1024, 16)
 
 
 class FakeClock:
-    """Time moves only when a test says so."""
+    """A clock that moves only when a test advances it."""
 
     def __init__(self) -> None:
         self.us = 1_000_000
@@ -32,8 +35,8 @@
         return self.us
 
 
-class Store:
-    """The state service's rules, without a network."""
+class InMemoryStore:
+    """The rules of the state service in memory: versions, guards, leases and events."""
 
     def __init__(self) -> None:
         self.revision = 0
@@ -82,44 +85,49 @@
 
     def end_lease(self, lease: int) -> None:
         self.leases.discard(lease)
-        gone = [k for k, row in self.rows.items() if row[2] == lease]
-        if gone:
+        expired = [k for k, row in self.rows.items() if row[2] == lease]
+        if expired:
             self.revision += 1
-        for key in gone:
+        for key in expired:
             self._delete(key)
 
 
-class FakeClient:
-    """A state client whose calls fail, or are carried out late, as a test has planned.
+class FakeStateClient:
+    """A client of the state service whose commits fail or are delayed as a test has planned.
+
+    Each commit takes one entry of ``planned_results``; without an entry it succeeds:
 
-    Each entry of ``plan`` is used by one commit: ok, refused, lost (never carried out), late
-    (carried out when the test calls ``deliver``) or blind (carried out, answer lost).
+    - ``ok``: executed and answered
+    - ``refused``: the service refuses it
+    - ``lost``: never executed, and the caller gets no answer
+    - ``late``: the caller gets no answer; executed when the test calls ``commit_delayed``
+    - ``blind``: executed, but the caller gets no answer
     """
 
-    def __init__(self, store: Store) -> None:
+    def __init__(self, store: InMemoryStore) -> None:
         self.store = store
-        self.plan: deque[str] = deque()
-        self.held: list[wire.Transaction] = []
-        self.commits = 0
+        self.planned_results: deque[str] = deque()
+        self.delayed_transactions: list[wire.Transaction] = []
+        self.commit_count = 0
 
     async def commit(self, transaction: wire.Transaction, timeout_s: float = 0) -> int:
-        self.commits += 1
-        fate = self.plan.popleft() if self.plan else "ok"
-        if fate == "refused":
+        self.commit_count += 1
+        result = self.planned_results.popleft() if self.planned_results else "ok"
+        if result == "refused":
             raise RefusedError("planned")
-        if fate == "lost":
+        if result == "lost":
             raise UnknownOutcomeError("planned")
-        if fate == "late":
-            self.held.append(transaction)
+        if result == "late":
+            self.delayed_transactions.append(transaction)
             raise UnknownOutcomeError("planned")
         revision = self.store.commit(transaction)
-        if fate == "blind":
+        if result == "blind":
             raise UnknownOutcomeError("planned")
         return revision
 
-    def deliver(self) -> None:
-        held, self.held = self.held, []
-        for transaction in held:
+    def commit_delayed(self) -> None:
+        delayed, self.delayed_transactions = self.delayed_transactions, []
+        for transaction in delayed:
             with contextlib.suppress(ConflictError):
                 self.store.commit(transaction)
 
@@ -149,8 +157,8 @@
         return msgspec.json.decode(json.dumps(body).encode(), type=wire.Events)
 
 
-def spec(job_id: str = "j-000001", **changes: object) -> JobSpec:
-    """A job that is easy to place."""
+def job_spec(job_id: str = "j-000001", **changes: object) -> JobSpec:
+    """Build a job that fits on nearly every machine; ``changes`` replace single fields."""
     fields: dict = {
         "id": job_id,
         "job_class": "batch",
@@ -167,14 +175,14 @@
         "spread": False,
         "spot": True,
         "estimate_s": 30.0,
-        "checkpoint_s": 0.0,
-        "save_s": 0.0,
+        "checkpoint_interval_s": 0.0,
+        "checkpoint_duration_s": 0.0,
     }
     return JobSpec(**{**fields, **changes})
 
 
-def shape(name: str = "small", **changes: object) -> MachineType:
-    """A machine type."""
+def machine_type(name: str = "small", **changes: object) -> MachineType:
+    """Build a machine type; ``changes`` replace single fields."""
     fields: dict = {
         "cpus": 4.0,
         "gpus": 0.0,
--- a/tests/simulated_services.py
+++ b/tests/simulated_services.py
@@ -1,4 +1,4 @@
-"""A region's state service and machines, by their published protocols, troubles included."""
+"""The simulated state service and machines, by their published protocols, also in their faults."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 
 from mosswalk.store.client import ConflictError, NoLeaseError
 from mosswalk.wire import state as wire
-from tests.gangs import GANG_WAIT_S
-from tests.standins import Store
+from tests.fakes import InMemoryStore
+from tests.simulated_gangs import GANG_WAIT_S
 
 if TYPE_CHECKING:
     from tests.simulation import Simulation
@@ -23,16 +23,18 @@
 
 
 class StateService:
-    """The store with its leases; may be down, refuse some, be slow, or carry writes out late."""
+    """The store and its leases; it can be down, refuse some senders, or commit late."""
 
     def __init__(self, region: Simulation) -> None:
         self.region = region
-        self.store = Store()
+        self.store = InMemoryStore()
+        # By lease: when it expires, and its time to live, in seconds.
         self.leases: dict[int, tuple[float, float]] = {}
         self._up = asyncio.Event()
         self._up.set()
-        self.refused: set[str] = set()
-        self.late_share = 0.0
+        self.refused_senders: set[str] = set()
+        # The share of transactions that are committed late, without an answer in time.
+        self.late_commit_share = 0.0
         self._changed = asyncio.Event()
 
     async def serve(self, method: str, path: str, body: bytes, sender: str) -> tuple[int, bytes]:
@@ -40,7 +42,7 @@
         query = {k: v[0] for k, v in parse_qs(url.query).items()}
         if url.path == "/follow":
             return await self._follow(query, sender)
-        if self.down or sender in self.refused:
+        if self.down or sender in self.refused_senders:
             return 503, b"{}"
         if url.path == "/commit":
             return await self._commit(body)
@@ -87,7 +89,7 @@
 
     async def _commit(self, body: bytes) -> tuple[int, bytes]:
         transaction = msgspec.json.decode(body, type=wire.Transaction)
-        if self.region.rng.random() < self.late_share:
+        if self.region.rng.random() < self.late_commit_share:
             self.region.network.spawn(self._commit_late(transaction))
             await asyncio.sleep(60.0)
         return self._apply(transaction)
@@ -113,22 +115,22 @@
         self._changed = asyncio.Event()
 
     async def _follow(self, query: dict[str, str], sender: str) -> tuple[int, bytes]:
-        if self.down or sender in self.refused:
+        if self.down or sender in self.refused_senders:
             return 503, b"{}"
         after, prefix = int(query["after"]), query["starts"]
-        until = self.region.now() + int(query.get("hold_ms", 0)) / 1000
+        answer_at_s = self.region.now() + int(query.get("hold_ms", 0)) / 1000
         while True:
             changed = self._changed
-            if not self.down and sender not in self.refused:
+            if not self.down and sender not in self.refused_senders:
                 events = [
                     e
                     for e in self.store.events[-2000:]
                     if e["stamp"] > after and (e.get("write") or e["delete"]).startswith(prefix)
                 ]
-                if events or self.region.now() >= until:
+                if events or self.region.now() >= answer_at_s:
                     body = {"ledger": self.store.revision, "events": events}
                     return 200, json.dumps(body).encode()
-                wait_s = until - self.region.now()
+                wait_s = answer_at_s - self.region.now()
             else:
                 wait_s = 0.1
             try:
@@ -149,37 +151,43 @@
         for lease, (_, ttl) in self.leases.items():
             self.leases[lease] = (self.region.now() + ttl, ttl)
 
-    def tick(self) -> None:
+    def expire_leases(self) -> None:
         if self.down:
             return
-        for lease, (until, _) in list(self.leases.items()):
-            if self.region.now() > until:
+        for lease, (expires_at_s, _) in list(self.leases.items()):
+            if self.region.now() > expires_at_s:
                 del self.leases[lease]
                 self.store.end_lease(lease)
                 self._notify()
 
 
 class Worker:
-    """One machine: boots, reports, fetches images, runs tasks, keeps its lease."""
+    """One machine: boots, reports, fetches images, and runs tasks for as long as it has a lease."""
 
-    def __init__(self, region: Simulation, name: str, kind: str, zone: str, spot: bool) -> None:
+    def __init__(
+        self, region: Simulation, name: str, machine_type: str, zone: str, spot: bool
+    ) -> None:
         self.region, self.name = region, name
-        self.kind, self.zone, self.spot = kind, zone, spot
+        self.machine_type, self.zone, self.spot = machine_type, zone, spot
         self.address = f"{name}:9000"
-        self.tenure, self.tick, self.epoch = 1, 0, 0
-        # phase, cause, and when the phase ends
+        self.session, self.sequence, self.term = 1, 0, 0
+        # By task and number of the attempt: its phase, when the phase ends, the cause of its exit.
         self.tasks: dict[tuple[str, int], dict] = {}
         self.images: set[str] = set()
-        self.target = region.rng.randrange(len(region.names))
-        self.answered = 0.0
-        self.up = self.gone = self.deaf = self.mute = False
-        self.warning_s: float | None = None
+        # The controller that it reports to.
+        self.controller_index = region.rng.randrange(len(region.controller_names))
+        # When it sent the last report that was answered.
+        self.last_answered_at_s = 0.0
+        # Two faults. receives_nothing: neither commands nor answers arrive. cannot_report: no
+        # report gets out, while commands still arrive.
+        self.up = self.destroyed = self.receives_nothing = self.cannot_report = False
+        self.spot_notice_s: float | None = None
         self.kept: list[bytes] = []
         self._changed = asyncio.Event()
-        self._began = region.now()
+        self.rented_at_s = region.now()
 
-    def report(self) -> bytes:
-        self.tick += 1
+    def encode_report(self) -> bytes:
+        self.sequence += 1
         rows = [
             {"piece": p, "try": t, "phase": row["phase"], "cause": row.get("cause")}
             for (p, t), row in self.tasks.items()
@@ -187,34 +195,34 @@
         body = {
             "host": self.name,
             "addr": self.address,
-            "build": self.kind,
+            "build": self.machine_type,
             "yard": self.zone,
             "reclaimable": self.spot,
-            "tenure": self.tenure,
-            "tick": self.tick,
-            "epoch": self.epoch,
-            "warning_s": self.warning_s,
+            "tenure": self.session,
+            "tick": self.sequence,
+            "epoch": self.term,
+            "warning_s": self.spot_notice_s,
             "pieces": rows,
         }
         return json.dumps(body).encode()
 
-    def see_epoch(self, epoch: int) -> None:
-        if epoch > self.epoch:
-            self.epoch = epoch
+    def observe_term(self, term: int) -> None:
+        if term > self.term:
+            self.term = term
             self._changed.set()
 
-    def carry_out(self, orders: list[dict]) -> None:
-        for order in orders:
-            key = (order["piece"], order["try"])
+    def execute_commands(self, commands: list[dict]) -> None:
+        for command in commands:
+            key = (command["piece"], command["try"])
             row = self.tasks.get(key)
-            if order["verb"] == "run" and row is None:
-                self._start(key)
-            elif order["verb"] == "kill" and row is not None:
-                self._stop(key, row, order.get("drain_s") or 0.0)
-            elif order["verb"] == "reap" and row is not None and row["phase"] == "exited":
+            if command["verb"] == "run" and row is None:
+                self._start_task(key)
+            elif command["verb"] == "kill" and row is not None:
+                self._stop_task(key, row, command.get("drain_s") or 0.0)
+            elif command["verb"] == "reap" and row is not None and row["phase"] == "exited":
                 del self.tasks[key]
 
-    def _start(self, key: tuple[str, int]) -> None:
+    def _start_task(self, key: tuple[str, int]) -> None:
         spec = self.region.spec_of(key[0])
         self._changed.set()
         if spec is None:
@@ -225,87 +233,91 @@
             fetch_s = 0.0 if spec.image in self.images else self.region.rng.uniform(0.5, 3.0)
             self.tasks[key] = {"phase": "pulling", "until": self.region.now() + fetch_s}
 
-    def _stop(self, key: tuple[str, int], row: dict, grace_s: float) -> None:
+    def _stop_task(self, key: tuple[str, int], row: dict, grace_s: float) -> None:
         spec = self.region.spec_of(key[0])
         if spec is not None and spec.kind == "group" and row["phase"] != "pulling":
             if row["phase"] != "exited":
                 self.region.gangs.stop(self, key, grace_s)
             return
-        saves = spec is not None and spec.checkpoint_s > 0 and grace_s >= spec.save_s
-        if saves and row["phase"] == "running":
-            row["phase"], row["until"] = "saving", self.region.now() + spec.save_s
+        can_checkpoint = (
+            spec is not None
+            and spec.checkpoint_interval_s > 0
+            and grace_s >= spec.checkpoint_duration_s
+        )
+        if can_checkpoint and row["phase"] == "running":
+            row["phase"], row["until"] = "saving", self.region.now() + spec.checkpoint_duration_s
             self._changed.set()
-        elif not saves or row["phase"] != "saving":
-            self.exit(key, "stopped")
+        elif not can_checkpoint or row["phase"] != "saving":
+            self.end_task(key, "stopped")
 
-    def changed(self) -> None:
+    def notify_changed(self) -> None:
         self._changed.set()
 
-    def exit(self, key: tuple[str, int], cause: str) -> None:
+    def end_task(self, key: tuple[str, int], cause: str) -> None:
         row = self.tasks.get(key)
         if row is None or row["phase"] == "exited":
             return
         if row["phase"] in ("gathering", "running", "saving"):
-            self.region.ended(self, key[0], cause)
+            self.region.on_task_ended(self, key[0], cause)
         self.tasks[key] = {"phase": "exited", "cause": cause}
         self._changed.set()
 
     async def serve(self, method: str, path: str, body: bytes, sender: str) -> tuple[int, bytes]:
-        if self.deaf or not self.up:
+        if self.receives_nothing or not self.up:
             await asyncio.sleep(60.0)
         message = json.loads(body)
-        if message["epoch"] < self.epoch or message["tenure"] != self.tenure:
-            return 409, self.report()
-        self.see_epoch(message["epoch"])
-        self.carry_out(message["orders"])
-        return 200, self.report()
+        if message["epoch"] < self.term or message["tenure"] != self.session:
+            return 409, self.encode_report()
+        self.observe_term(message["epoch"])
+        self.execute_commands(message["orders"])
+        return 200, self.encode_report()
 
     def advance(self) -> None:
-        """What happens by itself: nothing while it hangs."""
+        """Advance leases, image fetches and tasks to the current time, unless the machine hangs."""
         now = self.region.now()
-        if not self.up or self.gone or self.name in self.region.network.hangs:
+        if not self.up or self.destroyed or self.name in self.region.network.hung_hosts:
             return
-        if now - self.answered > LEASE_S:
+        if now - self.last_answered_at_s > LEASE_S:
             for key in list(self.tasks):
-                self.exit(key, "lease")
+                self.end_task(key, "lease")
             self.tasks.clear()
-            self.tenure += 1
-            self.answered = now
+            self.session += 1
+            self.last_answered_at_s = now
             self._changed.set()
         for key, row in list(self.tasks.items()):
             if row["phase"] == "pulling" and now >= row["until"]:
                 spec = self.region.spec_of(key[0])
                 self.images.add(spec.image)
                 row["phase"] = "running"
-                row["until"] = now + self.region.run_s(key[0])
+                row["until"] = now + self.region.draw_run_time_s(key[0])
                 self._changed.set()
-                self.region.started(self, key[0])
+                self.region.on_task_started(self, key[0])
                 if spec.kind == "group":
                     row["phase"], row["until"] = "gathering", now + GANG_WAIT_S
             if self.region.spec_of(key[0]).kind == "group":
-                # Its tasks go on together.
+                # SimulatedGangs advances the tasks of a gang, all together.
                 continue
             if row["phase"] == "running" and now >= row["until"]:
-                self.exit(key, "done")
+                self.end_task(key, "done")
             elif row["phase"] == "saving" and now >= row["until"]:
-                self.exit(key, "stopped")
+                self.end_task(key, "stopped")
 
     def destroy(self) -> None:
         for key in list(self.tasks):
-            self.exit(key, "gone")
-        self.gone = True
+            self.end_task(key, "gone")
+        self.destroyed = True
         self.region.network.hosts.pop(self.address, None)
 
     async def run(self, boot_s: float) -> None:
         await asyncio.sleep(boot_s)
         self.up = True
-        self.answered = self.region.now()
-        while not self.gone:
-            await self.region.network.awake(self.name)
-            if self.gone:
+        self.last_answered_at_s = self.region.now()
+        while not self.destroyed:
+            await self.region.network.wait_while_hung(self.name)
+            if self.destroyed:
                 return
             self.advance()
-            pause_s = await self._once()
+            pause_s = await self._report_once()
             self._changed.clear()
             await asyncio.sleep(0.5)
             try:
@@ -314,13 +326,17 @@
             except TimeoutError:
                 pass
 
-    async def _once(self) -> float:
+    async def _report_once(self) -> float:
         region = self.region
-        sent, tenure, name = region.now(), self.tenure, region.names[self.target]
-        body = self.report()
-        region.note_report(body)
-        if self.mute:
-            self.target = (self.target + 1) % len(region.names)
+        sent_at_s, session, name = (
+            region.now(),
+            self.session,
+            region.controller_names[self.controller_index],
+        )
+        body = self.encode_report()
+        region.maybe_repeat_report(body)
+        if self.cannot_report:
+            self.controller_index = (self.controller_index + 1) % len(region.controller_names)
             await asyncio.sleep(2.0)
             return 1.0
         try:
@@ -329,18 +345,18 @@
             )
         except (aiohttp.ClientError, TimeoutError, OSError):
             status, answer = 0, b""
-        if self.deaf or self.gone:
+        if self.receives_nothing or self.destroyed:
             return REPORT_S
         if status == 200:
             decoded = json.loads(answer)
-            if decoded["epoch"] >= self.epoch and tenure == self.tenure:
-                self.see_epoch(decoded["epoch"])
-                self.answered = sent
-                self.carry_out(decoded["orders"])
+            if decoded["epoch"] >= self.term and session == self.session:
+                self.observe_term(decoded["epoch"])
+                self.last_answered_at_s = sent_at_s
+                self.execute_commands(decoded["orders"])
             return REPORT_S * region.rng.uniform(0.75, 1.25) - 0.5
         manager = json.loads(answer).get("steward") if status == 421 else None
-        if manager in region.names and manager != name:
-            self.target = region.names.index(manager)
+        if manager in region.controller_names and manager != name:
+            self.controller_index = region.controller_names.index(manager)
             return 0.0
-        self.target = (self.target + 1) % len(region.names)
+        self.controller_index = (self.controller_index + 1) % len(region.controller_names)
         return 0.5
--- a/tests/test_offers.py
+++ b/tests/test_offers.py
@@ -1,4 +1,4 @@
-"""What a plan offers, and what it costs: by what has changed, not by how much there is."""
+"""Offers and rounds of team owners: the work depends on what changed, not on the fleet's size."""
 
 from types import SimpleNamespace
 
@@ -9,10 +9,10 @@
 from mosswalk.config import Team, load
 from mosswalk.factory.view import WaitingTasks
 from mosswalk.fleet.inventory import Inventory, Machine
-from mosswalk.fleet.offers import Offers
+from mosswalk.fleet.offers import OfferPlanner
 from mosswalk.fleet.preempting import Preemptor
 from mosswalk.jobs.registry import JobRegistry
-from mosswalk.jobs.state import Draft, Place, new_record
+from mosswalk.jobs.state import Assignment, Draft, new_record
 from mosswalk.placement.capacity import ZoneRule
 from mosswalk.placement.owner import Owner
 from mosswalk.store import records
@@ -20,81 +20,98 @@
 from mosswalk.store.writer import Change
 from mosswalk.wire.peers import Outcome
 from mosswalk.wire.workers import TaskReport
-from tests.standins import LIMITS, FakeClock, shape, spec
-from tests.test_config import write
-from tests.test_jobs import MirrorOf
-from tests.test_placement import job as placed
+from tests.fakes import RECORD_LIMITS, FakeClock, job_spec, machine_type
+from tests.test_config import write_settings
+from tests.test_jobs import InMemoryMirror
+from tests.test_placement import make_job
 
 S = 1_000_000
 
 
-class Counted(Offers):
-    builds = 0
+class CountingOfferPlanner(OfferPlanner):
+    """Counts how often the free capacity of a machine is computed."""
+
+    build_count = 0
 
     def _build(self, machine):
-        self.builds += 1
+        self.build_count += 1
         return super()._build(machine)
 
 
-def made(tmp_path, machines):
-    settings = load(write(tmp_path))
+def make_fleet(tmp_path, machine_count):
+    """An offer planner over small machines with one team, and the objects around it."""
+    settings = load(write_settings(tmp_path))
     settings = structs.replace(
         settings, params=structs.replace(settings.params, teams=(Team("red"),))
     )
-    mirror, inventory, clock = MirrorOf(), Inventory(), FakeClock()
+    mirror, inventory, clock = InMemoryMirror(), Inventory(), FakeClock()
     registry = JobRegistry(mirror)
-    inventory.types = {"small": shape()}
-    for i in range(machines):
+    inventory.types = {"small": machine_type()}
+    for i in range(machine_count):
         name = f"vm-{i:04d}"
         inventory.machines[name] = Machine(
-            name, "small", "a", False, "up", 0, 0, "x", hears=True, seen_us=clock.us
+            name,
+            "small",
+            "a",
+            False,
+            "up",
+            0,
+            0,
+            "x",
+            has_acknowledged_leader=True,
+            last_seen_at_us=clock.us,
         )
     term = TermRecord(1, "a", {"red": "a"})
-    leadership = SimpleNamespace(term=term, may_start=lambda: True, suspected=frozenset, node="a")
-    renting = SimpleNamespace(
-        cordoned=set(), note_stuck=lambda queues: None, nothing_stuck=lambda: None
+    leadership = SimpleNamespace(
+        term=term, may_start_tasks=lambda: True, suspected=frozenset, node="a"
+    )
+    scaler = SimpleNamespace(
+        cordoned=set(), record_blocked_jobs=lambda queues: None, clear_blocked_jobs=lambda: None
+    )
+    offers = CountingOfferPlanner(
+        settings, mirror, registry, inventory, leadership, scaler, clock, {}
     )
-    offers = Counted(settings, mirror, registry, inventory, leadership, renting, clock, {})
     return offers, mirror, registry, inventory, clock, settings
 
 
 def submit(mirror, placed=(), **changes):
-    record = new_record(spec(**changes), 5, 256)
+    record = new_record(job_spec(**changes), 5, 256)
     key = records.job_key(record.spec.id)
     mirror.commit(Change({key: 0}, {key: Raw(records.encode(record))}))
     return key
 
 
-def place(mirror, registry, count, machine):
-    draft = Draft(next(iter(registry.jobs.values())), LIMITS)
+def place_tasks(mirror, registry, count, machine):
+    """Records the first tasks of the first job as placed on a machine."""
+    draft = Draft(next(iter(registry.jobs.values())), RECORD_LIMITS)
     for index in range(count):
-        draft.place(Place(index, machine, 1), 1)
-    mirror.commit(draft.change({}))
+        draft.place(Assignment(index, machine, 1), 1)
+    mirror.commit(draft.to_change({}))
 
 
-def test_a_plan_builds_only_the_room_of_machines_of_which_something_changed(tmp_path):
-    offers, mirror, registry, _, clock, _ = made(tmp_path, 300)
-    offers.refresh()
+def test_plan_rebuilds_free_capacity_of_changed_machines_only(tmp_path):
+    offers, mirror, registry, _, clock, _ = make_fleet(tmp_path, 300)
+    offers.mark_periodic_changes()
     offers.plan()
-    # Nothing to place: no machine is looked at.
-    assert offers.builds == 0
-    offers.rooms()
-    assert offers.builds == 300
-    offers.refresh()
+    # With nothing to place, no machine is examined.
+    assert offers.build_count == 0
+    offers.free_capacities()
+    assert offers.build_count == 300
+    offers.mark_periodic_changes()
     offers.plan()
-    assert offers.builds == 300
-    offers.touch("vm-0007")
+    assert offers.build_count == 300
+    offers.mark_changed("vm-0007")
     submit(mirror, tasks=1)
     ((node, offer),) = offers.plan()
-    assert node == "a" and len(offer.teams[0].slots) == 1 and offers.builds == 301
-    place(mirror, registry, 1, offer.teams[0].slots[0].machine)
+    assert node == "a" and len(offer.teams[0].machines) == 1 and offers.build_count == 301
+    place_tasks(mirror, registry, 1, offer.teams[0].machines[0].machine)
     submit(mirror, id="j-000002", tasks=1)
     offers.plan()
-    assert offers.builds == 302
-    # Silence takes room away by time alone.
+    assert offers.build_count == 302
+    # A silent machine offers no capacity, though nothing but time has passed.
     clock.us += 60 * S
-    offers.refresh()
-    assert offers.rooms() == []
+    offers.mark_periodic_changes()
+    assert offers.free_capacities() == []
 
 
 @given(
@@ -102,100 +119,109 @@
     st.booleans(),
     st.booleans(),
 )
-def test_room_is_free_once_the_exit_is_reported_and_only_on_machines_that_hear(
-    tmp_path_factory, phase, hears, deaf
+def test_capacity_is_free_after_a_reported_exit_and_only_on_responsive_machines(
+    tmp_path_factory, phase, acknowledged, receives_nothing
 ):
-    offers, mirror, registry, inventory, _, _ = made(tmp_path_factory.mktemp("offers"), 1)
+    offers, mirror, registry, inventory, _, _ = make_fleet(tmp_path_factory.mktemp("offers"), 1)
     submit(mirror, tasks=2, cpus=3.0)
-    place(mirror, registry, 1, "vm-0000")
+    place_tasks(mirror, registry, 1, "vm-0000")
     machine = inventory.machines["vm-0000"]
-    machine.hears, machine.deaf_since_us = hears, 5 if deaf else None
+    machine.has_acknowledged_leader, machine.not_receiving_since_us = (
+        acknowledged,
+        5 if receives_nothing else None,
+    )
     if phase is not None:
-        machine.note_tasks((TaskReport("j-000001/0", 1, phase, "done"),))
-    rooms = offers.rooms()
-    if not hears or deaf:
-        assert rooms == []
+        machine.update_tasks((TaskReport("j-000001/0", 1, phase, "done"),))
+    capacities = offers.free_capacities()
+    if not acknowledged or receives_nothing:
+        assert capacities == []
     else:
-        assert rooms[0].cpus == (4000 if phase == "exited" else 1000)
+        assert capacities[0].cpus == (4000 if phase == "exited" else 1000)
 
 
-def test_completed_tasks_are_gathered_while_writes_are_scarce_but_never_the_last_one(tmp_path):
-    _, mirror, registry, _, clock, settings = made(tmp_path, 1)
+def test_owner_delays_completions_while_writes_are_scarce_except_the_last_one(tmp_path):
+    _, mirror, registry, _, clock, settings = make_fleet(tmp_path, 1)
     submit(mirror, tasks=4)
-    place(mirror, registry, 3, "vm-0000")
-    ample = False
-    writer = SimpleNamespace(ample=lambda: ample, share=lambda part: None)
+    place_tasks(mirror, registry, 3, "vm-0000")
+    spare_rate = False
+    writer = SimpleNamespace(has_spare_rate=lambda: spare_rate, set_rate_share=lambda share: None)
     leadership = SimpleNamespace(owns=lambda team: True, gangs_allowed=lambda: False)
     owner = Owner(settings, mirror, registry, writer, leadership, clock)
 
-    def drafted(*outcomes):
-        owner.outcomes(
+    def ended_after(*outcomes):
+        owner.receive_outcomes(
             SimpleNamespace(
                 outcomes=[Outcome(f"j-000001/{i}", i + 1, "vm-0000", kind) for i, kind in outcomes]
             )
         )
         drafts = {}
         owner._apply_outcomes(drafts)
-        return sum(len(d.settled) for d in drafts.values())
+        return sum(len(d.ended) for d in drafts.values())
 
-    assert drafted((0, "done")) == 0
-    # What must be placed again is written at once, with all that was gathered.
-    assert drafted((1, "lost")) == 2
-    assert drafted((0, "done")) == 0
+    assert ended_after((0, "done")) == 0
+    # A task that must be placed again is written at once, with all delayed completions.
+    assert ended_after((1, "lost")) == 2
+    assert ended_after((0, "done")) == 0
     clock.us += 3 * S
-    assert drafted() == 1
-    ample = True
-    assert drafted((0, "done")) == 1
-    ample = False
+    assert ended_after() == 1
+    spare_rate = True
+    assert ended_after((0, "done")) == 1
+    spare_rate = False
     record = structs.replace(registry.jobs["j-000001"].record, done_count=3)
     registry.jobs["j-000001"].record = record
-    assert drafted((2, "done")) == 1
+    assert ended_after((2, "done")) == 1
+
 
+def test_round_takes_a_bounded_number_of_jobs_and_the_most_urgent_first(tmp_path):
+    """Guards against long rounds.
 
-def test_a_round_takes_what_can_be_written_in_a_moment_and_the_most_urgent_first(tmp_path):
-    """A cut healed, 170 services and as many arrays had lost tasks: one round of 8 s for all."""
-    _, mirror, registry, _, clock, settings = made(tmp_path, 1)
+    When a network partition healed, 170 services and as many arrays had lost tasks, and one round
+    for all of them took 8 s.
+    """
+    _, mirror, registry, _, clock, settings = make_fleet(tmp_path, 1)
     for i in range(40):
         priority = "prod" if i % 10 == 9 else "idle" if i % 2 else "standard"
         submit(mirror, id=f"j-{i:06d}", tasks=2, priority=priority)
-        draft = Draft(registry.jobs[f"j-{i:06d}"], LIMITS)
-        draft.place(Place(0, "vm-0000", 1), 1)
-        mirror.commit(draft.change({}))
+        draft = Draft(registry.jobs[f"j-{i:06d}"], RECORD_LIMITS)
+        draft.place(Assignment(0, "vm-0000", 1), 1)
+        mirror.commit(draft.to_change({}))
     leadership = SimpleNamespace(owns=lambda team: True, gangs_allowed=lambda: False)
     owner = Owner(settings, mirror, registry, None, leadership, clock)
-    owner.outcomes(
+    owner.receive_outcomes(
         SimpleNamespace(outcomes=[Outcome(f"j-{i:06d}/0", 1, "vm-0000", "lost") for i in range(40)])
     )
     drafts = {}
     owner._apply_outcomes(drafts)
-    assert len(drafts) == owner._most_settled and owner._wake.is_set()
-    seen = [draft.job.id for draft in drafts.values()]
-    prod = [f"j-{i:06d}" for i in (9, 19, 29, 39)]
-    # Idle work's ends are not held up by standard work's.
-    assert seen == [*prod, "j-000000", "j-000001", "j-000002", "j-000003"]
-    # Until the replicas have a place again, rounds stay short; then all the rest is taken.
+    assert len(drafts) == owner._max_outcome_jobs and owner._wake.is_set()
+    job_ids = [draft.job.id for draft in drafts.values()]
+    prod_job_ids = [f"j-{i:06d}" for i in (9, 19, 29, 39)]
+    # Outcomes of idle jobs are not delayed by those of standard jobs.
+    assert job_ids == [*prod_job_ids, "j-000000", "j-000001", "j-000002", "j-000003"]
+    # Rounds stay short until the replicas are placed again; then one takes all the rest.
     for draft in drafts.values():
-        mirror.commit(draft.change({}))
+        mirror.commit(draft.to_change({}))
     drafts = {}
     owner._apply_outcomes(drafts)
-    assert len(drafts) == owner._most_settled
-    for job_id in prod:
-        draft = Draft(registry.jobs[job_id], LIMITS)
-        assert draft.place(Place(0, "vm-0000", 1), 1) and draft.place(Place(1, "vm-0000", 1), 1)
-        mirror.commit(draft.change({}))
+    assert len(drafts) == owner._max_outcome_jobs
+    for job_id in prod_job_ids:
+        draft = Draft(registry.jobs[job_id], RECORD_LIMITS)
+        assert draft.place(Assignment(0, "vm-0000", 1), 1) and draft.place(
+            Assignment(1, "vm-0000", 1), 1
+        )
+        mirror.commit(draft.to_change({}))
     drafts = {}
     owner._apply_outcomes(drafts)
     assert len(drafts) == 24 and not owner._outcomes
 
 
-def test_an_exit_that_is_reported_is_no_victim_and_frees_its_room_once(tmp_path):
-    offers, mirror, registry, inventory, clock, settings = made(tmp_path, 1)
+def test_reported_exit_is_no_victim_and_its_capacity_is_counted_once(tmp_path):
+    offers, mirror, registry, inventory, clock, settings = make_fleet(tmp_path, 1)
     submit(mirror, tasks=4, cpus=1.0, priority="idle")
-    place(mirror, registry, 4, "vm-0000")
-    waits = WaitingTasks(placed("j-000009", tasks=3, priority="prod"), 3, ZoneRule(False, 3))
-    preempting = Preemptor(settings, inventory, registry, offers, clock)
+    place_tasks(mirror, registry, 4, "vm-0000")
+    waiting = WaitingTasks(make_job("j-000009", tasks=3, priority="prod"), 3, ZoneRule(False, 3))
+    preemptor = Preemptor(settings, inventory, registry, offers, clock)
     exits = (TaskReport(f"j-000001/{i}", i + 1, "exited", "stopped") for i in range(2))
-    inventory.machines["vm-0000"].note_tasks(tuple(exits))
-    # Two are being stopped and their exits are reported: room for two, one more to stop.
+    inventory.machines["vm-0000"].update_tasks(tuple(exits))
+    # Two stopped tasks are reported as exited: capacity for two, so one more is stopped.
     stopping = {("j-000001", 0, 1), ("j-000001", 1, 2)}
-    assert [v.attempt.task for v in preempting.victims([waits], stopping)] == [3]
+    assert [v.attempt.task for v in preemptor.select_victims([waiting], stopping)] == [3]
