--- a/mosswalk/config/__init__.py
+++ b/mosswalk/config/__init__.py
@@ -90,7 +90,10 @@
 
 
 class NextStateLimits(Struct, frozen=True):
-    """Limits that the state service adopts at an unannounced time; None means unchanged."""
+    """Limits that the settings announce in ``params.state.next``; None means unchanged.
+
+    The state service adopts them at a time that is not announced.
+    """
 
     rps: float | None = None
     write_rps: float | None = None
@@ -242,7 +245,11 @@
 
 
 def _with_lowest_state_limits(settings: Settings) -> Settings:
-    """Replace the state service's limits by values that hold before and after they change."""
+    """Replace each limit of the state service by the lower of the current and the next one.
+
+    The next ones are those in ``params.state.next``. The service changes to them at a time that is
+    not announced, so this controller stays within both from the start.
+    """
     state = settings.params.state.lowest()
     params = msgspec.structs.replace(settings.params, state=state)
     return msgspec.structs.replace(settings, params=params)
--- a/mosswalk/detection/suspicion.py
+++ b/mosswalk/detection/suspicion.py
@@ -9,8 +9,9 @@
 from mosswalk.detection.adaptive_timeout import AdaptiveTimeout
 from mosswalk.wire.peers import LinkState
 
-# A suspicion that begins within this many times ``settle_most_s`` of the end of the previous one
-# is a recurrence.
+# A suspicion that begins less than this many times ``settle_most_s``, the longest damping period,
+# after the end of the previous one is a recurrence. Each recurrence in a row doubles the damping
+# period, up to the longest: the link must stay ``alive`` for it before the suspicion ends.
 _RECURRENCE_WINDOW_FACTOR = 2
 # Bounds the shift that computes the damping period.
 _MAX_DOUBLINGS = 16
--- a/mosswalk/factory/pools.py
+++ b/mosswalk/factory/pools.py
@@ -1,4 +1,7 @@
-"""State of each pool: how long its machines take to be up, and whether the cloud refuses them."""
+"""State of each pool: how long its machines take to be up, and whether the cloud refuses them.
+
+The CBRAIN paper is the one whose algorithms mosswalk/factory/loop.py implements.
+"""
 
 from __future__ import annotations
 
@@ -49,7 +52,10 @@
             state.requested_since_us = now_us
 
     def on_rental_granted(self, pool: Pool, now_us: int) -> None:
-        """Record a granted rental: the queue time, q of the CBRAIN paper, ends now."""
+        """Record a granted rental, which ends the pool's queue time.
+
+        The queue time (q in the CBRAIN paper) counts from the first request since the last grant.
+        """
         state = self.state(pool)
         if state.requested_since_us is not None:
             state.queue_us = float(now_us - state.requested_since_us)
@@ -64,7 +70,11 @@
         state.refused_until_us = now_us + min(_MAX_REFUSAL_DELAY_US, delay_us)
 
     def on_machine_booted(self, pool: Pool, boot_us: int) -> None:
-        """Record how long a machine took to boot: b of the CBRAIN paper."""
+        """Record the boot time of the pool's latest machine, in place of the previous one.
+
+        The boot time (b in the CBRAIN paper) is the time from the grant of a machine until it is
+        up. The last measured one is the estimate for the pool's next machine.
+        """
         self.state(pool).boot_us = float(boot_us)
 
     def is_below_cap(self, pool: Pool, machines: int) -> bool:
--- a/mosswalk/fleet/offers.py
+++ b/mosswalk/fleet/offers.py
@@ -141,7 +141,10 @@
         self.mark_changed(machine)
 
     def is_reserved(self, name: str) -> bool:
-        """Return whether capacity of a machine is reserved."""
+        """Return whether capacity of a machine is reserved for an offer.
+
+        It is until the offer's placements are in the mirror, or the reservation expires unanswered.
+        """
         return name in self._reserved_by_machine
 
     def on_answer(self, node: str, answer: OfferAnswer | None) -> None:
@@ -322,6 +325,7 @@
                 usage.get(name) or Usage(),
                 zones,
                 self._failed_machines_by_job,
+                # Only the owner of a team delays jobs after failures; the leader delays none.
                 {},
                 self._queue_order,
                 self._clock.wall_us(),
@@ -359,7 +363,7 @@
                 _Reservation(node, tuple(teams), reserved, now_us + _RESERVATION_US)
             )
             offers.append((node, offer))
-        # place_across_teams has allocated from the cached capacities. Their machines are marked as
-        # changed here, so their capacity is computed anew.
+        # place_across_teams has reduced the cached free capacities. _index_reservations marks the
+        # machines of all reservations as changed, so that their free capacity is computed anew.
         self._index_reservations()
         return offers
--- a/mosswalk/fleet/overdue_machines.py
+++ b/mosswalk/fleet/overdue_machines.py
@@ -84,11 +84,13 @@
                 yield machine, "did not boot in time"
 
     def _silent(self, silences: dict[str, int]) -> Iterator[tuple[Machine, str]]:
+        """Yield the machines to release for their silence, and the reason."""
         zone_of = {name: self._inventory.machines[name].zone for name in silences}
         # When a network partition heals, the last machines report again later than most others, and
-        # by then few are late in their zone. Without the delay of _recent_zones, on a standard test
-        # day a third of a zone was released in that second, as if each machine had become silent on
-        # its own.
+        # by then few are late in their zone. Each of them would seem to have become silent on its
+        # own and be released: on a standard test day a third of a zone was released in that second.
+        # So _recent_zones keeps a zone in the set for WORKER_RECONNECT_US after it was last in that
+        # state.
         late_zones = self._recent_zones(
             self._many_late_at_us, zones_with_many_late(silences, self.silence_limits, zone_of)
         )
--- a/mosswalk/fleet/report_intake.py
+++ b/mosswalk/fleet/report_intake.py
@@ -200,9 +200,10 @@
             machine.known_from_record_only = False
             machine.type, machine.zone, machine.spot = report.type, report.zone, report.spot
         if is_periodic or now_us - self._reconnecting_since_us < self._lease_us:
-            # Answers to /orders do not renew the worker's lease. A machine whose reports don't
-            # reach this leader counts as seen only while it may still be reconnecting from the
-            # previous leader.
+            # The leader sends commands between reports by POST /orders, and the worker's answer is
+            # a report too, but it does not renew the worker's lease. A machine whose periodic
+            # reports don't reach this leader counts as seen only while it may still be reconnecting
+            # from the previous leader.
             machine.last_seen_at_us = now_us
         had_notice = machine.spot_notice_until_us is not None
         machine.spot_notice_until_us = (
@@ -214,7 +215,10 @@
             self._record_task_changes(machine, report)
 
     def _record_task_changes(self, machine: Machine, report: Report) -> None:
-        """Update the machine's health from new exits, and its cached images from running tasks."""
+        """Update the machine's health from new exits, and its cached images from running tasks.
+
+        A machine that is now found unhealthy is released.
+        """
         machine_type = self._inventory.types.get(machine.type)
         for task in report.tasks:
             before = machine.tasks.get((task.task, task.attempt))
--- a/mosswalk/leadership/terms.py
+++ b/mosswalk/leadership/terms.py
@@ -14,7 +14,10 @@
 
 
 def max_unconfirmed_us(lease_s: float, cancel_s: float) -> int:
-    """How long a controller may renew workers' leases after the state service last confirmed it.
+    """How long a controller may renew workers' leases without the state service's confirmation.
+
+    The time counts from when the state service last confirmed that the controller's mirror is up to
+    date and, for a leader, that it still holds its own lease.
 
     A job may be withdrawn through another controller right after that confirmation. Its tasks must
     have ended within ``cancel_s``, and they end ``lease_s`` after their worker sent the last report
--- a/mosswalk/placement/preemption.py
+++ b/mosswalk/placement/preemption.py
@@ -16,7 +16,9 @@
 # A checkpoint that takes more than this fraction of the run time that is lost on average without it
 # only delays the release of the capacity.
 _MAX_CHECKPOINT_COST_RATIO = 0.7
-# How many tasks are considered in one call: each of them scans all machines.
+# For at most this many waiting tasks does one call of ``choose_victims`` search for victims. The
+# search for each task may scan all machines, so the limit bounds how long a call takes. A gang with
+# more tasks than searches are left is skipped.
 _MAX_SCANS = 48
 # The key of one idle task that can checkpoint. Only free capacity would be better, and that would
 # have been offered.
--- a/mosswalk/store/mirror.py
+++ b/mosswalk/store/mirror.py
@@ -73,7 +73,7 @@
         self._batch_listeners.append(callback)
 
     def version(self, key: str) -> int:
-        """The key's version as a guard needs it: 0 if the key does not exist."""
+        """The version for a guard (a condition of a commit): 0 if the key does not exist."""
         entry = self._entries.get(key)
         return entry.version if entry is not None and entry.value is not None else 0
 
@@ -181,6 +181,7 @@
             if event.key is not None:
                 self.apply(event.key, bytes(event.value), event.version)
             elif event.delete is not None:
+                # This is the deleted key.
                 self.apply(event.delete, None, event.version)
         self.revision = max(self.revision, events.revision)
         self.confirmed_until_us = started_at_us
--- a/mosswalk/wire/state.py
+++ b/mosswalk/wire/state.py
@@ -1,4 +1,7 @@
-"""Messages between controllers and the state service, a versioned key-value store."""
+"""Messages between controllers and the state service, a versioned key-value store.
+
+A lease is called a hold on the wire. A field ``lease`` is the id of a lease.
+"""
 
 from __future__ import annotations
 
@@ -6,7 +9,7 @@
 
 
 class Row(Struct, frozen=True):
-    """A key with its value, its version and the lease it is attached to, if any."""
+    """A key with its value, its version and the id of the lease it is attached to, if any."""
 
     key: str = field(name="path")
     value: Raw = field(name="v")
@@ -61,13 +64,13 @@
 
 
 class LeaseRequest(Struct, frozen=True):
-    """The body of POST /holds."""
+    """The body of POST /holds, which requests a lease."""
 
     ttl_ms: int
 
 
 class Lease(Struct, frozen=True):
-    """A granted lease."""
+    """A granted lease: its id, which is ``hold`` on the wire."""
 
     lease: int = field(name="hold")
 
