--- a/tests/detection_trial.py
+++ b/tests/detection_trial.py
@@ -98,6 +98,7 @@
         return relay.address
 
     async def _write_settings(self, stack: AsyncExitStack, name: str) -> Path:
+        """Start a relay to each receiver, and write settings that hold the relays' addresses."""
         settings = self.cluster.settings[name]
         receivers = {peer.host_name: peer.address for peer in settings.known}
         receivers["state"] = settings.outside.state
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -186,6 +186,8 @@
         deadline_s = time.monotonic() + int(request.query.get("hold_ms", 0)) / 1000
         while True:
             self.expire_leases()
+            # While the service is unavailable, or refuses this sender, an open watch delivers no
+            # events; at its deadline it is answered without any, but with the current revision.
             refused = self.unavailable or request.headers.get("From") in self.refused_senders
             events = (
                 []
--- a/tests/simulated_gangs.py
+++ b/tests/simulated_gangs.py
@@ -86,10 +86,13 @@
                 self._start(attempt, job_id, members)
                 return
             timed_out = {k: w for k, w in members.items() if now >= w.tasks[k]["until"]}
+            # "alone": the other tasks did not all arrive in time, so the attempt never started.
             self._end_members(timed_out, "alone")
         elif attempt.stop_requested_at_s is not None:
             self._checkpoint(attempt, spec, members, is_complete)
         elif not is_complete:
+            # Counted from the first time that a task is missing or hung, and not reset if the gang
+            # is complete again. "mates_gone": others of the running attempt are missing or hung.
             attempt.incomplete_since_s = attempt.incomplete_since_s or now
             if now - attempt.incomplete_since_s >= GANG_PEER_S:
                 self._end_members(members, "mates_gone")
--- a/tests/simulated_services.py
+++ b/tests/simulated_services.py
@@ -235,6 +235,7 @@
 
     def _stop_task(self, key: tuple[str, int], row: dict, grace_s: float) -> None:
         spec = self.region.spec_of(key[0])
+        # The kind "group" is a gang: its tasks take a checkpoint together.
         if spec is not None and spec.kind == "group" and row["phase"] != "pulling":
             if row["phase"] != "exited":
                 self.region.gangs.stop(self, key, grace_s)
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -224,6 +224,8 @@
 
 
 def test_team_cpu_limit_holds_and_a_job_of_several_chunks_finishes():
+    """A chunk is the part of a job's tasks that one record holds: at most 256 of the 300 here."""
+
     async def test(cluster, users):
         cluster.task_duration_s = 0.05
         await users.submit(job_spec("j-000050", tasks=300, cpus=0.25, memory_gb=0.1))
--- a/tests/test_detection.py
+++ b/tests/test_detection.py
@@ -347,7 +347,7 @@
         was_suspected = self.peer.suspected
         self.peer.update_state(self.now_us, self.listening_us)
         if was_suspected and not self.peer.suspected:
-            # A suspicion ends only after uninterrupted contact for at least the shortest damping.
+            # A suspicion ends only after uninterrupted contact for at least ``settle_s``.
             assert self.alive_since_us is not None
             assert self.now_us - self.alive_since_us >= TUNING.settle_s * SECOND_US
         if self.peer.state != "alive":
@@ -398,8 +398,12 @@
         if self.peer.state in ("silent", "unheard") and self.last_heard_us >= self.listening_us:
             assert self.now_us - self.last_heard_us > TUNING.floor_s * SECOND_US
 
+    # The window is the time that the silence must last before a verdict: ``refused_s`` if all
+    # votes say that connections are refused, otherwise ``silent_s``. Checked is the shorter one.
     @invariant()
     def no_verdict_without_quorum_or_within_the_window(self):
+        # One vote of three controllers is no quorum, however long the peer has been silent. The
+        # votes of others count if they are at most 2 s old.
         own_votes = collect_votes(self.peer, "a", {}, self.now_us, 2 * SECOND_US)
         assert not is_dead(self.peer, own_votes, 3, self.now_us + 60 * SECOND_US, 0, TUNING)
         heartbeats = dict([make_heartbeat("b", at_us=self.now_us, run=self.peer.run)])
--- a/tests/test_detection_cluster.py
+++ b/tests/test_detection_cluster.py
@@ -91,6 +91,7 @@
         run = controller(region, leader).leadership.run_id
         region.kill_controller(leader)
         await region.wait_until(lambda: region.leader() not in (None, leader), 20.0)
+        # The leader renewed its lease about every 0.8 s: over 0.75 of TTL_S was left at its death.
         assert region.now() - started_at_s < 0.75 * TTL_S
         verdict = history(region).verdicts()[-1]
         assert (verdict.node, verdict.run, verdict.reason) == (leader, run, "quorum")
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -187,6 +187,7 @@
 ).map(lambda found: [free_capacity(f"vm-{i}", r.zone, r.cpus // 1000) for i, r in enumerate(found)])
 
 
+# No machines are avoided. With ``spread``, a zone takes at most half of the tasks, rounded up.
 @given(capacity_lists, st.integers(1, 8), st.sampled_from([1.0, 2.0]), st.booleans(), st.booleans())
 def test_capacity_is_found_for_a_whole_gang_or_not_at_all(
     capacities, tasks, cpus, one_zone, spread
@@ -397,6 +398,10 @@
 
 
 def test_unanswered_start_of_an_ending_gang_requests_a_new_term(tmp_path):
+    """A start command without an answer may still arrive while its gang ends.
+
+    A new term makes workers reject it. It is requested after 5 s.
+    """
     _, mirror, registry, inventory, _ = _make_owner(tmp_path, 2)
     draft = Draft(registry.jobs["j-000001"], SMALL_COMMIT_LIMITS)
     draft.place_gang([Assignment(0, "vm-0000", 1), Assignment(1, "vm-0001", 1)], 1)
@@ -407,6 +412,7 @@
     )
     stale_starts = StaleStarts(inventory, registry, leadership, clock)
     inventory.machines["vm-0000"].session = 1
+    # Attempt 1 of the task, with the term and the worker's session that its start was sent in.
     inventory.machines["vm-0000"].unanswered_starts = {("j-000001/0", 1): (1, 1)}
     for ending in (False, True):
         if ending:
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -318,6 +318,7 @@
             )
         for queue in queues:
             if large_job in queue.unschedulable and queue.is_overdue(large_job) and not claimed:
+                # "small" is the type of all machines here.
                 claimed = {capacity_to_claim(large_job, capacities, {"small"}).machine}
     raise AssertionError("the large job never started")
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -222,10 +222,13 @@
 
 
 def test_leader_elected_during_a_cloud_outage_uses_its_machines_but_rents_none(leader):
+    """The recorded machine types, which hold no prices, suffice to place tasks but not to rent."""
     manager = leader.manager
     recorded_types = Raw(records.encode([machine_type(price=0.0, spot_price=0.0)]))
     leader.mirror.commit(Change({}, {records.MACHINE_TYPES_KEY: recorded_types}))
     manager.inventory.types = {}
+    # Only the machine types are missing for renting: the cloud's list of machines was received, and
+    # the first leader does not wait for machines that an earlier leader may have rented.
     manager._list_received = manager._is_first_leader = True
     manager._load_recorded_types()
     manager._offers.mark_periodic_changes()
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -86,7 +86,9 @@
     async def run():
         async with AsyncExitStack() as stack:
             cluster = LoopbackCluster()
-            # The current version gets the announced next limits of the state service at once.
+            # The limits of the state service for controllers of the current version: requests and
+            # writes per second, kB per value, operations per transaction. The last two are those
+            # that settings of the production version only announce, as [params.state.next].
             cluster.state_limits = StateLimits(5000.0, 500.0, 2.0, 5)
             await cluster.start(stack, start_controllers=False)
             processes = ProductionControllers(cluster, checkout)
--- a/tests/virtual_time.py
+++ b/tests/virtual_time.py
@@ -46,6 +46,11 @@
         return self.now
 
     def _unless_frozen(self, handles: list, callback: Callable[..., Any], args: tuple) -> None:
+        """Run a callback, or postpone it until its process is thawed.
+
+        ``handles`` holds the callback's own handle, through which it can be cancelled while it is
+        postponed. It is a list because the handle exists only after the callback is scheduled.
+        """
         postponed = self.frozen_callbacks.get(CURRENT_PROCESS.get())
         if postponed is None:
             callback(*args)
